--- a/src/main.rs
+++ b/src/main.rs
@@ -12,10 +12,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use net::client::{self, Front, Names, Phase};
+use net::client::{self, Frontend, NameTable, ShutdownPhase};
 use net::config::Config;
-use net::descriptors::{Descriptors, is_lack};
-use net::driver::{Driver, Happening};
+use net::descriptors::{Descriptors, is_out_of_descriptors};
+use net::driver::{Driver, DriverEvent};
 use net::log;
 
 /// Clients connect for up to 0.4 s after SIGTERM; what waits in the accept queue counts as taken.
@@ -58,20 +58,20 @@
     let listener = client::listen(config.listen)?;
     let address = listener.local_addr().context("the listener has no address")?;
     log::line(format!("listening on {address}"));
-    let (phase, phases) = watch::channel(Phase::Open);
-    let (happenings, inbox) = mpsc::unbounded_channel();
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
+    let (events, inbox) = mpsc::unbounded_channel();
     // Until the end of the program: who is told of a drain must keep it to the last request.
-    let descriptors = Arc::new(Descriptors::new(config.limits.connections()));
-    tokio::spawn(reload(hangup, address, happenings.clone(), descriptors.clone()));
-    let at_last = happenings.clone();
+    let descriptors = Arc::new(Descriptors::new(config.limits.connections_per_side()));
+    tokio::spawn(reload(hangup, address, events.clone(), descriptors.clone()));
+    let at_last = events.clone();
     let seed = config.seed();
     let longest = Duration::from_secs_f64(config.settings.longest_deadline_ms() / 1e3);
-    let names = Names { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
-    let front = Arc::new(Front::new(names, phases, happenings));
+    let names = NameTable { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
+    let frontend = Arc::new(Frontend::new(names, phases, events));
     let driver =
-        Driver::new(config.settings, seed, config.discovery, front.clone(), inbox, descriptors.clone());
+        Driver::new(config.settings, seed, config.discovery, frontend.clone(), inbox, descriptors.clone());
     let mut driver = tokio::spawn(driver.run(config.known));
-    let mut serving = tokio::spawn(client::serve(listener, front, descriptors));
+    let mut serving = tokio::spawn(client::serve(listener, frontend, descriptors));
 
     tokio::select! {
         _ = terminate.recv() => log::line("SIGTERM: finishing what is held"),
@@ -80,13 +80,13 @@
         _ = &mut driver => bail!("the driver has failed"),
     }
     let last = Instant::now() + longest.max(LEAST_DEADLINE) + LAST_MARGIN;
-    phase.send_replace(Phase::Leaving);
+    phase.send_replace(ShutdownPhase::Draining);
     sleep(STILL_COMING).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     if timeout_at(last, &mut serving).await.is_err() {
         log::line("some clients have not let go in time");
         // The driver goes before the program does, and then nothing is left to be answered.
-        let _ = at_last.send(Happening::Ending);
+        let _ = at_last.send(DriverEvent::ShutdownDeadline);
         let _ = timeout_at(last + LAST_WORDS, serving).await;
     }
     Ok(())
@@ -96,15 +96,15 @@
 async fn reload(
     mut hangup: Signal,
     listening: SocketAddr,
-    happenings: mpsc::UnboundedSender<Happening>,
+    events: mpsc::UnboundedSender<DriverEvent>,
     descriptors: Arc<Descriptors>,
 ) {
     while hangup.recv().await.is_some() {
         let mut wait = READ_AGAIN[0];
         let mut told = false;
-        while let Err(error) = read_again(listening, &happenings) {
-            if error.chain().filter_map(|cause| cause.downcast_ref()).any(is_lack) {
-                descriptors.lack();
+        while let Err(error) = read_again(listening, &events) {
+            if error.chain().filter_map(|cause| cause.downcast_ref()).any(is_out_of_descriptors) {
+                descriptors.report_exhausted();
             }
             if !std::mem::replace(&mut told, true) {
                 log::line(format!("SIGHUP: the old configuration stays: {error:#}"));
@@ -121,13 +121,13 @@
 }
 
 /// Reads the configuration again. One that is not sound changes nothing.
-fn read_again(listening: SocketAddr, happenings: &mpsc::UnboundedSender<Happening>) -> Result<()> {
+fn read_again(listening: SocketAddr, events: &mpsc::UnboundedSender<DriverEvent>) -> Result<()> {
     let config = Config::from_env()?;
     log::line(format!("SIGHUP: discovery is at {}", config.discovery));
     if config.listen.port() != 0 && config.listen != listening {
         log::line(format!("SIGHUP: listening on {} takes a restart", config.listen));
     }
     // The driver goes before the program does, and then nothing is left to be told.
-    let _ = happenings.send(Happening::Reloaded { discovery: config.discovery });
+    let _ = events.send(DriverEvent::ConfigReloaded { discovery: config.discovery });
     Ok(())
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -23,11 +23,11 @@
 use tokio::task::{Id, JoinSet};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::descriptors::{Descriptors, is_lack};
-use super::driver::Happening;
-use super::inbound::{Inbound, Peer};
+use super::client_stream::{ClientStream, DisconnectDetector};
+use super::descriptors::{Descriptors, is_out_of_descriptors};
+use super::driver::DriverEvent;
 use super::log;
-use super::upstream::BODY_BYTES;
+use super::upstream_connection::MAX_BODY_BYTES;
 
 /// Clients that connect while the sidecar starts or is busy wait here.
 const BACKLOG: u32 = 4096;
@@ -53,41 +53,41 @@
 /// A longer time-out is absurd.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// How far the end has come.
+/// The stages of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
-    /// Serving.
-    Open,
-    /// SIGTERM came: still accepting, but every answer closes its connection.
-    Leaving,
-    /// No client comes any more: only what is open is finished.
+pub enum ShutdownPhase {
+    /// Normal operation.
+    Serving,
+    /// After SIGTERM: clients are still accepted, but every response closes its connection.
+    Draining,
+    /// No new clients are expected: only open requests are finished.
     Closing,
 }
 
-/// What class and tenant names stand for.
-pub struct Names {
-    /// By class id.
+/// The classes and tenants that requests may name, indexed by id.
+pub struct NameTable {
+    /// Names and effects of the classes, by class id.
     pub classes: Vec<(String, Effect)>,
-    /// By tenant id.
+    /// Names of the tenants, by tenant id.
     pub tenants: Vec<String>,
 }
 
-/// What all client connections share. Counters only: the driver alone owns state.
-pub struct Front {
-    /// Names in requests.
-    pub names: Names,
-    /// Whether `/up` says so.
+/// State shared by all client connections. It holds counters and channels only; the driver owns all other state.
+pub struct Frontend {
+    /// The class and tenant names that requests may carry.
+    pub names: NameTable,
+    /// Whether `/up` answers 200.
     pub ready: AtomicBool,
-    /// How far the end has come.
-    pub phase: watch::Receiver<Phase>,
-    /// To the driver.
-    pub happenings: mpsc::UnboundedSender<Happening>,
+    /// The current stage of the shutdown.
+    pub phase: watch::Receiver<ShutdownPhase>,
+    /// Events for the driver.
+    pub events: mpsc::UnboundedSender<DriverEvent>,
     /// Ids for the module: those of clients come from outside and might come twice.
     next_id: AtomicU64,
 }
 
-/// A request as it goes on to upstreams.
-pub struct Forward {
+/// The parts of a client request that are forwarded to upstreams.
+pub struct ForwardedRequest {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -98,55 +98,55 @@
     pub body: Bytes,
 }
 
-/// A request for the driver.
-pub struct Arrival {
-    /// The id the module knows it by.
+/// A complete client request, as handed to the driver.
+pub struct ClientRequest {
+    /// The id under which the decision module knows it.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The id that its client gave it.
+    /// The value of its X-Request-ID header.
     pub id: Box<str>,
     /// When its last byte was read.
-    pub at: Instant,
-    /// How long its client waits from then on.
+    pub received_at: Instant,
+    /// How long the client waits, counted from `received_at`.
     pub time_left: Duration,
-    /// Its expected work in microseconds, where the client says so.
+    /// The expected work in microseconds, if the client states it.
     pub cost: Option<f64>,
-    /// What goes on to upstreams.
-    pub forward: Forward,
-    /// Its client, as long as that is owed an answer.
-    pub client: Weak<Peer>,
-    /// Where its final answer goes.
-    pub reply: oneshot::Sender<Final>,
+    /// The parts that are forwarded to upstreams.
+    pub forwarded: ForwardedRequest,
+    /// Detects whether the client has disconnected; can be upgraded while the client is owed a response.
+    pub client: Weak<DisconnectDetector>,
+    /// Receives the final response.
+    pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// A final answer.
+/// The final response to a client request.
 #[derive(Debug)]
-pub enum Final {
-    /// An upstream's answer.
+pub enum FinalResponse {
+    /// Headers and body of an upstream's response.
     Served(HeaderMap, Bytes),
-    /// Trying again is harmless, best after this long.
+    /// The request did not run and may be retried, preferably after this delay.
     Refused(Millis),
-    /// No promise.
+    /// The request failed and may have run.
     Failed,
-    /// The client is at fault: it is told with this status.
+    /// The request itself is invalid: this status is returned to the client.
     Rejected(StatusCode),
 }
 
-impl Front {
-    /// A front that is not ready yet.
+impl Frontend {
+    /// Creates a frontend that is not ready yet.
     pub fn new(
-        names: Names,
-        phase: watch::Receiver<Phase>,
-        happenings: mpsc::UnboundedSender<Happening>,
-    ) -> Front {
-        Front {
+        names: NameTable,
+        phase: watch::Receiver<ShutdownPhase>,
+        events: mpsc::UnboundedSender<DriverEvent>,
+    ) -> Frontend {
+        Frontend {
             names,
             ready: AtomicBool::new(false),
             phase,
-            happenings,
+            events,
             // The module keeps timer 0 for itself and halves request ids into timers.
             next_id: AtomicU64::new(2),
         }
@@ -202,31 +202,33 @@
 
 /// Accepts clients until the end: when it is closing, none is open and none waits to be accepted. A client that
 /// comes when there are as many connections as may be takes the place of one that has no request open.
-pub async fn serve(listener: TcpListener, front: Arc<Front>, descriptors: Arc<Descriptors>) {
-    let mut phase = front.phase.clone();
+pub async fn serve(listener: TcpListener, frontend: Arc<Frontend>, descriptors: Arc<Descriptors>) {
+    let mut phase = frontend.phase.clone();
     let mut slots = Slots { epoch: Instant::now(), by_task: HashMap::new() };
     let mut connections = JoinSet::new();
     loop {
-        let closing = *phase.borrow_and_update() == Phase::Closing;
-        let room = connections.len() < descriptors.each();
+        let closing = *phase.borrow_and_update() == ShutdownPhase::Closing;
+        let room = connections.len() < descriptors.connections_per_side();
         tokio::select! {
             biased;
             Some(ended) = connections.join_next_with_id() => forget(&mut slots, ended),
-            () = descriptors.lacked() => out_of_descriptors(&descriptors, &front, connections.len(), &mut slots),
+            () = descriptors.exhausted() =>
+                out_of_descriptors(&descriptors, &frontend, connections.len(), &mut slots),
             accepted = listener.accept(), if room => match accepted {
                 Ok((stream, _)) => {
                     let free_since = AtomicU64::new(slots.millis());
                     let slot = Arc::new(Slot { free_since, make_room: Notify::new() });
-                    let (front, kept, epoch) = (front.clone(), slot.clone(), slots.epoch);
-                    let task = connections.spawn(async move { connection(stream, &front, &slot, epoch).await });
+                    let (frontend, kept, epoch) = (frontend.clone(), slot.clone(), slots.epoch);
+                    let task =
+                        connections.spawn(async move { connection(stream, &frontend, &slot, epoch).await });
                     slots.by_task.insert(task.id(), kept);
-                    slots.make_room_down_to(stay(descriptors.each()));
+                    slots.make_room_down_to(stay(descriptors.connections_per_side()));
                 }
                 Err(error) => {
                     log::line(format!("cannot accept: {error}"));
-                    if is_lack(&error) {
+                    if is_out_of_descriptors(&error) {
                         // Now: clients that leave meanwhile would make what is held look less.
-                        out_of_descriptors(&descriptors, &front, connections.len(), &mut slots);
+                        out_of_descriptors(&descriptors, &frontend, connections.len(), &mut slots);
                     } else {
                         slots.make_room();
                     }
@@ -234,7 +236,8 @@
                 }
             },
             // All are busy, or closing already.
-            () = sleep(ACCEPT_BACK_OFF), if !room => slots.make_room_down_to(stay(descriptors.each())),
+            () = sleep(ACCEPT_BACK_OFF), if !room =>
+                slots.make_room_down_to(stay(descriptors.connections_per_side())),
             () = std::future::ready(()), if closing && connections.is_empty() => return,
             changed = phase.changed(), if !closing => if changed.is_err() { return },
         }
@@ -242,13 +245,13 @@
 }
 
 /// There was no descriptor while so many clients were connected.
-fn out_of_descriptors(descriptors: &Descriptors, front: &Front, clients: usize, slots: &mut Slots) {
-    if descriptors.shrink(clients) {
-        let each = descriptors.each();
+fn out_of_descriptors(descriptors: &Descriptors, frontend: &Frontend, clients: usize, slots: &mut Slots) {
+    if descriptors.lower_limit(clients) {
+        let each = descriptors.connections_per_side();
         log::line(format!("out of descriptors: from now on {each} connections on each side"));
-        let _ = front.happenings.send(Happening::OutOfDescriptors);
+        let _ = frontend.events.send(DriverEvent::ConnectionLimitLowered);
     }
-    slots.make_room_down_to(stay(descriptors.each()));
+    slots.make_room_down_to(stay(descriptors.connections_per_side()));
 }
 
 /// How many of so many connections may stay, as others may be closing; half of them where there are few.
@@ -266,22 +269,22 @@
 }
 
 /// Serves one client connection.
-async fn connection(stream: TcpStream, front: &Arc<Front>, slot: &Slot, epoch: Instant) {
+async fn connection(stream: TcpStream, frontend: &Arc<Frontend>, slot: &Slot, epoch: Instant) {
     let _ = stream.set_nodelay(true);
-    let mut phase = front.phase.clone();
+    let mut phase = frontend.phase.clone();
     let now = *phase.borrow_and_update();
     let heard = AtomicBool::new(false);
     let whole_by = Instant::now() + WHOLE;
-    let (stream, peer) = Inbound::new(stream);
+    let (stream, detector) = ClientStream::new(stream);
     let service = service_fn(|request| {
         let first = !heard.swap(true, Ordering::Relaxed);
-        let (front, peer) = (front.clone(), peer.clone());
+        let (frontend, detector) = (frontend.clone(), detector.clone());
         async move {
             let by = if first { whole_by } else { Instant::now() + WHOLE };
-            let mut response = handle(request, &front, slot, peer, by).await;
+            let mut response = handle(request, &frontend, slot, detector, by).await;
             slot.free_since.store(epoch.elapsed().as_millis() as u64, Ordering::Relaxed);
             // What is left of a request that was turned away must not be read as another.
-            if response.status().is_client_error() || *front.phase.borrow() > Phase::Open {
+            if response.status().is_client_error() || *frontend.phase.borrow() > ShutdownPhase::Serving {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(response)
@@ -289,7 +292,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(if now == Phase::Closing { IDLE_AT_END } else { IDLE })
+        .header_read_timeout(if now == ShutdownPhase::Closing { IDLE_AT_END } else { IDLE })
         .max_buf_size(BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
@@ -303,12 +306,12 @@
             // Errors here are clients that left or wrote nonsense; hyper has answered those it can.
             _ = connection.as_mut() => return,
             // Its request is dropped with the connection, and with it what goes out for it.
-            () = poll_fn(|cx| if busy() { peer.poll_gone(cx) } else { Poll::Pending }) => return,
+            () = poll_fn(|cx| if busy() { detector.poll_disconnected(cx) } else { Poll::Pending }) => return,
             changed = phase.changed() => {
                 let now = *phase.borrow_and_update();
                 // A connection that has carried nothing yet is about to: it gets its one answer while
                 // clients may still come. The others are closed as soon as they carry nothing.
-                if changed.is_err() || now == Phase::Closing || heard.load(Ordering::Relaxed) {
+                if changed.is_err() || now == ShutdownPhase::Closing || heard.load(Ordering::Relaxed) {
                     connection.as_mut().graceful_shutdown();
                 }
                 if changed.is_err() {
@@ -330,14 +333,14 @@
 /// Tells the driver when the client goes away before its answer.
 struct Guard<'a> {
     request: RequestId,
-    front: &'a Front,
+    frontend: &'a Frontend,
     answered: bool,
 }
 
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.front.happenings.send(Happening::ClientLeft(self.request));
+            let _ = self.frontend.events.send(DriverEvent::ClientDisconnected(self.request));
         }
     }
 }
@@ -347,25 +350,25 @@
 
 async fn handle(
     request: Request<Incoming>,
-    front: &Front,
+    frontend: &Frontend,
     slot: &Slot,
-    peer: Peer,
+    detector: DisconnectDetector,
     whole_by: Instant,
 ) -> Response<Full<Bytes>> {
     if request.uri().path() == "/up" {
-        let up = front.ready.load(Ordering::Relaxed);
+        let up = frontend.ready.load(Ordering::Relaxed);
         return match (request.method() == Method::GET, up) {
             (false, _) => plain(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
             (true, true) => plain(StatusCode::OK, "up"),
             (true, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
         };
     }
-    let Checked { class, tenant, time_left, cost, id } = match check(&request, &front.names) {
+    let Checked { class, tenant, time_left, cost, id } = match check(&request, &frontend.names) {
         Ok(checked) => checked,
         Err((status, reason)) => return plain(status, reason),
     };
     let (head, body) = request.into_parts();
-    let body = match timeout_at(whole_by, Limited::new(body, BODY_BYTES).collect()).await {
+    let body = match timeout_at(whole_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
@@ -373,28 +376,30 @@
         Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body is broken"),
         Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
     };
-    let at = Instant::now();
+    let received_at = Instant::now();
     slot.free_since.store(BUSY, Ordering::Relaxed);
     // A client may name the whole URL; upstreams are asked for the path in any case.
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
-    let request = RequestId(front.next_id.fetch_add(1, Ordering::Relaxed));
+    let request = RequestId(frontend.next_id.fetch_add(1, Ordering::Relaxed));
     let (reply, answer) = oneshot::channel();
-    let forward = Forward { method: head.method, target, headers: end_to_end(&head.headers), body };
+    let forwarded =
+        ForwardedRequest { method: head.method, target, headers: end_to_end_headers(&head.headers), body };
     // Dropped with this future, when the client has its answer or has gone.
-    let waiting = Arc::new(peer);
+    let waiting = Arc::new(detector);
     let client = Arc::downgrade(&waiting);
-    let arrival = Arrival { request, class, tenant, id, at, time_left, cost, forward, client, reply };
-    let mut guard = Guard { request, front, answered: false };
-    let _ = front.happenings.send(Happening::Arrived(Box::new(arrival)));
+    let client_request =
+        ClientRequest { request, class, tenant, id, received_at, time_left, cost, forwarded, client, reply };
+    let mut guard = Guard { request, frontend, answered: false };
+    let _ = frontend.events.send(DriverEvent::RequestArrived(Box::new(client_request)));
     let answer = answer.await;
     guard.answered = true;
     match answer {
-        Ok(Final::Served(headers, body)) => {
+        Ok(FinalResponse::Served(headers, body)) => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
             response
         }
-        Ok(Final::Refused(retry_after)) => {
+        Ok(FinalResponse::Refused(retry_after)) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let seconds = HeaderValue::from_str(&format!("{:.3}", retry_after / 1_000.0));
             if let (Ok(seconds), true) = (seconds, retry_after > 0.0) {
@@ -402,8 +407,8 @@
             }
             response
         }
-        Ok(Final::Rejected(status)) => plain(status, "the request cannot be served"),
-        Ok(Final::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Ok(FinalResponse::Rejected(status)) => plain(status, "the request cannot be served"),
+        Ok(FinalResponse::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
@@ -417,7 +422,7 @@
 }
 
 /// Reads the head of a request. What upstreams could not use, or might read otherwise, never goes on to them.
-fn check(request: &Request<Incoming>, names: &Names) -> Result<Checked, Malformed> {
+fn check(request: &Request<Incoming>, names: &NameTable) -> Result<Checked, Malformed> {
     let bad = |reason| (StatusCode::BAD_REQUEST, reason);
     let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let Some(class) = names.classes.iter().position(|(name, _)| name == first) else {
@@ -437,7 +442,7 @@
         Some(text) => number(text).ok_or(bad("Content-Length is not a number"))?,
         None => 0,
     };
-    if length > BODY_BYTES as u64 {
+    if length > MAX_BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     match single(headers, "x-priority-class")? {
@@ -492,8 +497,8 @@
     }
 }
 
-/// The headers that are not about one connection or its framing.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+/// Copies the end-to-end headers, leaving out hop-by-hop headers and those of message framing.
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const OF_CONNECTION: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
--- a/src/net/inbound.rs
+++ b/src/net/client_stream.rs
@@ -39,34 +39,34 @@
     }
 }
 
-/// The stream that hyper reads from and writes to.
-pub struct Inbound {
+/// The stream of a client connection that hyper reads from and writes to.
+pub struct ClientStream {
     reading: Arc<Mutex<Reading>>,
     writing: OwnedWriteHalf,
 }
 
-/// The other end of a client's connection, to be watched while its request is open.
+/// Detects that the client has disconnected while its request is open.
 #[derive(Clone)]
-pub struct Peer(Arc<Mutex<Reading>>);
+pub struct DisconnectDetector(Arc<Mutex<Reading>>);
 
 fn lock(reading: &Mutex<Reading>) -> MutexGuard<'_, Reading> {
     reading.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Inbound {
-    /// Wraps a stream.
-    pub fn new(stream: TcpStream) -> (Inbound, Peer) {
+impl ClientStream {
+    /// Wraps a stream and returns it with its detector.
+    pub fn new(stream: TcpStream) -> (ClientStream, DisconnectDetector) {
         let (half, writing) = stream.into_split();
         let reading = Arc::new(Mutex::new(Reading { half, ahead: BytesMut::new(), cut: false }));
-        let peer = Peer(reading.clone());
-        (Inbound { reading, writing }, peer)
+        let detector = DisconnectDetector(reading.clone());
+        (ClientStream { reading, writing }, detector)
     }
 }
 
-impl Peer {
+impl DisconnectDetector {
     /// Ready once the client has closed, half-closed or reset its connection. Reads ahead of hyper to find out,
     /// so it is only to be polled while a request is open.
-    pub fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let reading = &mut *lock(&self.0);
         let mut piece = [0; PIECE_BYTES];
         loop {
@@ -79,11 +79,11 @@
         }
     }
 
-    /// Whether it has done so by now. The socket itself is asked: the runtime hears of an end only when it next
-    /// turns to the kernel, and timers that came due while the process was held up fire before that. Only to be
-    /// asked while a request is open: hyper reads what was read here when it goes on with the answer, since the
-    /// runtime will not wake it for that.
-    pub fn is_gone(&self) -> bool {
+    /// Whether the client has disconnected by now. Queries the socket directly: the runtime learns of an end only when
+    /// it next polls the kernel, and timers that came due while the process was held up fire before that. To be called
+    /// only while a request is open: hyper reads what was read here when it continues after the response, since the
+    /// runtime does not wake it for that.
+    pub fn is_disconnected(&self) -> bool {
         let reading = &mut *lock(&self.0);
         let mut piece = [0; PIECE_BYTES];
         for _ in 0..PIECES_AT_ONCE {
@@ -99,7 +99,7 @@
     }
 }
 
-impl AsyncRead for Inbound {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let reading = &mut *lock(&self.reading);
         if !reading.ahead.is_empty() {
@@ -115,7 +115,7 @@
     }
 }
 
-impl AsyncWrite for Inbound {
+impl AsyncWrite for ClientStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.writing).poll_write(cx, buf)
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -7,8 +7,8 @@
 use sagemast::settings::Config as SettingsObject;
 use serde::{Deserialize, Deserializer};
 
-use super::descriptors::OWN;
-use super::discovery::{Entry, HostList};
+use super::descriptors::RESERVED_DESCRIPTORS;
+use super::discovery::{HostEntry, HostList};
 use super::log;
 
 /// The configuration file.
@@ -54,10 +54,10 @@
 }
 
 impl Limits {
-    /// How many connections there may be on each side, so that neither descriptors nor memory run out.
-    pub fn connections(&self) -> usize {
+    /// How many connections each side may have without running out of descriptors or memory.
+    pub fn connections_per_side(&self) -> usize {
         let by_memory = self.memory_mb.saturating_mul(1024) / CONNECTION_KIB;
-        (self.sockets.saturating_sub(OWN) / 2).min(by_memory).max(1)
+        (self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).min(by_memory).max(1)
     }
 }
 
@@ -76,7 +76,7 @@
     let value = serde_json::Value::deserialize(deserializer)?;
     let hosts = match (&value, value.get("hosts").and_then(serde_json::Value::as_array)) {
         (serde_json::Value::Null, _) => return Ok(None),
-        (_, Some(hosts)) => hosts.iter().cloned().map(Entry::from).collect(),
+        (_, Some(hosts)) => hosts.iter().cloned().map(HostEntry::from).collect(),
         (_, None) => {
             log::line("the known list cannot be read: hosts is missing or no list");
             return Ok(None);
@@ -88,7 +88,7 @@
         0
     });
     let mut list = HostList { seq, whole: true, hosts };
-    if list.has_unread() {
+    if list.has_invalid_entries() {
         // What stands there is in no change that is told later.
         list.seq = 0;
     }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -12,9 +12,9 @@
 //! | 10 | discovery: the calls that may hang, the next one, and one that is being closed |
 //! | 3 | spare, for what whoever starts the process may leave open in it |
 //!
-//! which is [`OWN`], and of the rest one half for clients, those being closed for others among them, and one half
-//! for servers. Each of the two is held on its own: however many idle clients there are, they take nothing of what
-//! discovery and the servers need.
+//! which is [`RESERVED_DESCRIPTORS`], and of the rest one half for clients, those being closed for others among them,
+//! and one half for servers. Each of the two is held on its own: however many idle clients there are, they take
+//! nothing of what discovery and the servers need.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,8 +26,8 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep};
 
-/// What is neither a client's nor a server's: the table above.
-pub const OWN: usize = 24;
+/// Descriptors set aside for everything but client and upstream connections: the table above.
+pub const RESERVED_DESCRIPTORS: usize = 24;
 /// What of it is always open: all but the configuration, discovery and what is spare.
 const ALWAYS: usize = 10;
 /// The error of an operation that would open one descriptor more than this process may hold (POSIX, EMFILE).
@@ -54,8 +54,8 @@
     counted_at: Mutex<Option<Instant>>,
 }
 
-/// Whether an operation failed because this process holds all the descriptors that it may.
-pub fn is_lack(error: &io::Error) -> bool {
+/// Whether an operation failed because the process has reached its limit of open descriptors.
+pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(TOO_MANY_OPEN_FILES)
 }
 
@@ -71,8 +71,8 @@
         }
     }
 
-    /// How many connections there may be on each side.
-    pub fn each(&self) -> usize {
+    /// The current limit on connections on each side.
+    pub fn connections_per_side(&self) -> usize {
         self.each.load(Ordering::Relaxed)
     }
 
@@ -81,52 +81,52 @@
         self.configured - self.permits.available_permits()
     }
 
-    /// Whether there are more connections to servers than there may be, by one that is wanted or not.
-    pub fn is_over(&self, wanted: usize) -> bool {
-        self.servers() + wanted > self.each()
+    /// Whether the upstream connections, with `wanted` more, exceed the limit.
+    pub fn is_over_limit(&self, wanted: usize) -> bool {
+        self.servers() + wanted > self.connections_per_side()
     }
 
-    /// The right to one more connection to a server.
-    pub fn permit(&self) -> Option<OwnedSemaphorePermit> {
-        if self.is_over(1) {
+    /// Returns a permit for one more upstream connection, unless the limit is reached.
+    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
+        if self.is_over_limit(1) {
             return None;
         }
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// There was no descriptor.
-    pub fn lack(&self) {
+    /// Reports that an operation found no free descriptor.
+    pub fn report_exhausted(&self) {
         self.lacking.notify_one();
     }
 
-    /// Comes back once there was no descriptor.
-    pub async fn lacked(&self) {
+    /// Waits until an operation has found no free descriptor.
+    pub async fn exhausted(&self) {
         self.lacking.notified().await;
     }
 
-    /// There was no descriptor while so many clients were connected: what is held now is all that there is, and
-    /// what discovery needs has to come out of it. Whether that makes fewer connections.
-    pub fn shrink(&self, clients: usize) -> bool {
+    /// Lowers the limit after an operation found no free descriptor while `clients` clients were connected: what is
+    /// held now is all that there is, and discovery needs its share of it. Returns whether the limit became lower.
+    pub fn lower_limit(&self, clients: usize) -> bool {
         let mut counted_at = self.counted_at.lock().unwrap_or_else(PoisonError::into_inner);
         if counted_at.is_some_and(|at| at.elapsed() < CLOSED_AFTER) {
             return false;
         }
         *counted_at = Some(Instant::now());
         let all = ALWAYS + clients + self.servers();
-        let each = (all.saturating_sub(OWN) / 2).max(1);
+        let each = (all.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1);
         self.each.fetch_min(each, Ordering::Relaxed) > each
     }
 
-    /// Connects as soon as there is a descriptor. `lacks` tells afterwards, also if this is dropped before, whether
-    /// there was none at the last try.
-    pub async fn connect(&self, address: SocketAddr, lacks: &mut bool) -> io::Result<TcpStream> {
+    /// Connects, retrying until a descriptor is free. `exhausted` tells whether the last try found none, also when this
+    /// future is dropped.
+    pub async fn connect(&self, address: SocketAddr, exhausted: &mut bool) -> io::Result<TcpStream> {
         loop {
             let result = TcpStream::connect(address).await;
-            *lacks = result.as_ref().is_err_and(is_lack);
-            if !*lacks {
+            *exhausted = result.as_ref().is_err_and(is_out_of_descriptors);
+            if !*exhausted {
                 return result;
             }
-            self.lack();
+            self.report_exhausted();
             sleep(AGAIN).await;
         }
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use super::descriptors::Descriptors;
-use super::driver::Happening;
+use super::driver::DriverEvent;
 use super::log;
 
 /// An empty line comes every 2 s; when neither one nor an object has come whole for this long, the watch is dead.
@@ -53,17 +53,17 @@
     #[serde(default)]
     pub whole: bool,
     /// Its entries.
-    pub hosts: Vec<Entry>,
+    pub hosts: Vec<HostEntry>,
 }
 
-/// An entry of a list, decoded once and by itself: one that is broken must not take the others with it.
+/// An entry of a host list. Each is decoded by itself, so that an invalid one does not affect the others.
 #[derive(Deserialize)]
 #[serde(from = "serde_json::Value")]
-pub enum Entry {
-    /// What it says.
-    Read(Host),
-    /// It cannot be read.
-    Unread {
+pub enum HostEntry {
+    /// A valid entry.
+    Decoded(Host),
+    /// An entry that cannot be decoded.
+    Invalid {
         /// Its host, as far as that can be read.
         host: Option<String>,
         /// Why.
@@ -71,13 +71,13 @@
     },
 }
 
-impl From<serde_json::Value> for Entry {
-    fn from(entry: serde_json::Value) -> Entry {
+impl From<serde_json::Value> for HostEntry {
+    fn from(entry: serde_json::Value) -> HostEntry {
         match read(&entry) {
-            Ok(host) => Entry::Read(host),
+            Ok(host) => HostEntry::Decoded(host),
             Err(error) => {
                 let host = entry.get("host").and_then(serde_json::Value::as_str).map(str::to_owned);
-                Entry::Unread { host, error: error.to_string() }
+                HostEntry::Invalid { host, error: error.to_string() }
             }
         }
     }
@@ -126,27 +126,27 @@
 }
 
 impl HostList {
-    /// The entries that can be read; the others are logged.
-    pub fn entries(&self) -> impl Iterator<Item = &Host> {
+    /// The valid entries; the others are logged.
+    pub fn valid_hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter_map(|entry| match entry {
-            Entry::Read(host) => Some(host),
-            Entry::Unread { error, .. } => {
+            HostEntry::Decoded(host) => Some(host),
+            HostEntry::Invalid { error, .. } => {
                 log::line(format!("discovery: an entry cannot be read: {error}"));
                 None
             }
         })
     }
 
-    /// Whether there is an entry that cannot be read.
-    pub fn has_unread(&self) -> bool {
-        self.hosts.iter().any(|entry| matches!(entry, Entry::Unread { .. }))
+    /// Whether an entry could not be decoded.
+    pub fn has_invalid_entries(&self) -> bool {
+        self.hosts.iter().any(|entry| matches!(entry, HostEntry::Invalid { .. }))
     }
 
-    /// The hosts whose entries cannot be read, as far as their names can.
-    pub fn unread_names(&self) -> impl Iterator<Item = &str> {
+    /// The names of the hosts whose entries are invalid, as far as they can be read.
+    pub fn invalid_host_names(&self) -> impl Iterator<Item = &str> {
         self.hosts.iter().filter_map(|entry| match entry {
-            Entry::Unread { host, .. } => host.as_deref(),
-            Entry::Read(_) => None,
+            HostEntry::Invalid { host, .. } => host.as_deref(),
+            HostEntry::Decoded(_) => None,
         })
     }
 }
@@ -220,12 +220,12 @@
 pub struct Watch {
     /// Discovery's address.
     pub address: SocketAddr,
-    /// Its number: what an earlier one left on its way to the driver is not to be believed any more.
-    pub number: u64,
+    /// Identifies the watch: events of an earlier one that are still queued are ignored.
+    pub id: u64,
     /// The version that the sidecar has.
     pub seq: u64,
-    /// To the driver.
-    pub news: mpsc::UnboundedSender<Happening>,
+    /// Events for the driver.
+    pub events: mpsc::UnboundedSender<DriverEvent>,
     /// How long sends may go on to a server once it is told that it drains.
     pub drain_grace: Duration,
     /// Spreads its calls.
@@ -264,8 +264,8 @@
 }
 
 impl Watch {
-    /// Watches for good, for settings under which news come by themselves.
-    pub async fn keep(mut self) {
+    /// Watches until it is aborted, for settings under which updates are pushed.
+    pub async fn run_forever(mut self) {
         let mut wait = BACK_OFF;
         loop {
             let before = self.seq;
@@ -280,10 +280,10 @@
         }
     }
 
-    /// Watches once, for settings under which the module asks; it hears of the end and asks again. What it has
-    /// asked for is not over when the watch falls silent, nor when discovery has `moved`: a watch that takes the
-    /// place of another is opened until one answers.
-    pub async fn ask(mut self, moved: bool) {
+    /// Watches once, for settings under which the module asks; the driver is told when the watch ends.
+    /// A watch that falls silent is opened again. With `moved`, as after discovery has moved, calls are repeated
+    /// until one is answered.
+    pub async fn run_once(mut self, moved: bool) {
         let mut opened = if moved { Ok(self.open().await) } else { self.call_in_time().await };
         let end = loop {
             match opened {
@@ -298,7 +298,7 @@
             }
         };
         log::line(format!("discovery: {end}"));
-        let _ = self.news.send(Happening::DiscoveryFailed { watch: self.number, seq: self.seq });
+        let _ = self.events.send(DriverEvent::DiscoveryFailed { watch_id: self.id, seq: self.seq });
     }
 
     /// How often discovery is tried at least while it does not answer.
@@ -409,9 +409,9 @@
             bail!("version {} came after {}", list.seq, self.seq);
         }
         self.seq = list.seq;
-        let (whole, unread) = (list.whole, list.has_unread());
-        let news = Happening::Listed { watch: self.number, list };
-        self.news.send(news).ok().context("the driver has ended")?;
+        let (whole, unread) = (list.whole, list.has_invalid_entries());
+        let event = DriverEvent::HostListReceived { watch_id: self.id, list };
+        self.events.send(event).ok().context("the driver has ended")?;
         match (unread, whole) {
             (false, _) => Ok(None),
             (true, true) => Ok(Some(Instant::now() + FETCH_AGAIN)),
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -17,13 +17,15 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use super::client::{Arrival, Final, Forward, Front, end_to_end};
+use super::client::{ClientRequest, FinalResponse, ForwardedRequest, Frontend, end_to_end_headers};
+use super::client_stream::DisconnectDetector;
 use super::descriptors::Descriptors;
 use super::discovery::{AbortOnDrop, HostList, Watch};
-use super::inbound::Peer;
 use super::log;
-use super::servers::Servers;
-use super::upstream::{Answer, Connection, End, Source, Unopened, attempt, probe};
+use super::upstream_connection::{
+    AttemptResult, ConnectError, Connection, ProbeConnection, UpstreamResponse, run_attempt, run_probe,
+};
+use super::upstream_registry::UpstreamRegistry;
 
 /// The module is told this much less than the client waits: its last word must reach the client in time. An
 /// answer takes a fraction of a millisecond to it; the rest is for a turn in which much else is to be done.
@@ -43,72 +45,72 @@
 /// restarted processes nine in ten have to be ready within 6 s on the shortest days: 2 s are left for the start on a
 /// busy machine, and discovery has had the time for eight calls.
 const UP_WITHOUT_LIST: Duration = Duration::from_secs(4);
-/// One attempt on its way.
+/// An attempt that has been sent and has not ended.
 #[derive(Debug, Clone, Copy)]
-pub struct Flight {
-    /// The request.
+pub struct InFlightAttempt {
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// Which of its sends.
+    /// Its number among the attempts of that request.
     pub attempt: AttemptNo,
-    /// Where to.
+    /// The upstream that it is sent to.
     pub upstream: UpstreamId,
-    /// Which of the upstream's lives: connections do not outlast one.
-    pub life: u64,
-    /// When the attempt is given up.
-    pub until: Instant,
+    /// The incarnation of the upstream: connections are not reused across restarts.
+    pub incarnation: u64,
+    /// When the attempt times out.
+    pub deadline: Instant,
 }
 
-/// Something that the driver is told.
-pub enum Happening {
-    /// A request came in.
-    Arrived(Box<Arrival>),
-    /// Its client went away.
-    ClientLeft(RequestId),
-    /// A connection for an attempt came up or did not.
-    Connected(Flight, Result<Box<Connection>, Unopened>),
+/// An event that the driver handles.
+pub enum DriverEvent {
+    /// A complete client request was read.
+    RequestArrived(Box<ClientRequest>),
+    /// The client of a request disconnected before its response.
+    ClientDisconnected(RequestId),
+    /// Opening a connection for an attempt succeeded or failed.
+    ConnectFinished(InFlightAttempt, Result<Box<Connection>, ConnectError>),
     /// An attempt ended.
-    Ended {
-        /// Which.
-        flight: Flight,
-        /// How.
-        end: End,
+    AttemptEnded {
+        /// The attempt.
+        in_flight: InFlightAttempt,
+        /// How it ended.
+        result: AttemptResult,
     },
-    /// A connection is free.
-    Idle {
-        /// To whom.
+    /// A connection may be put back into the pool.
+    ConnectionReturned {
+        /// The upstream that it leads to.
         upstream: UpstreamId,
-        /// In which of its lives.
-        life: u64,
+        /// The incarnation of the upstream for which it was opened.
+        incarnation: u64,
         /// The connection.
         connection: Box<Connection>,
     },
-    /// A probe ended.
-    Probed {
-        /// Who was asked.
+    /// A probe finished.
+    ProbeFinished {
+        /// The upstream that was probed.
         upstream: UpstreamId,
-        /// What came back.
-        answer: Option<Answer>,
+        /// The response, if one came in time.
+        response: Option<UpstreamResponse>,
     },
-    /// Discovery told something.
-    Listed {
-        /// To which watch.
-        watch: u64,
-        /// What.
+    /// Discovery sent a host list or a change of it.
+    HostListReceived {
+        /// The watch that received it.
+        watch_id: u64,
+        /// The list or the change.
         list: HostList,
     },
-    /// The configuration was read again.
-    Reloaded {
+    /// The configuration file was read again.
+    ConfigReloaded {
         /// Where discovery is asked from now on.
         discovery: SocketAddr,
     },
-    /// There may be fewer connections than before.
-    OutOfDescriptors,
-    /// The program is about to end: what is open is answered now, and what still comes at once.
-    Ending,
+    /// The limit on connections may have been lowered.
+    ConnectionLimitLowered,
+    /// The process is about to exit: open requests are answered now, and new ones are refused at once.
+    ShutdownDeadline,
     /// A call to discovery failed or the watch ended.
     DiscoveryFailed {
-        /// Which.
-        watch: u64,
+        /// The watch or call that failed.
+        watch_id: u64,
         /// The version to go on from: 0 if something was missed.
         seq: u64,
     },
@@ -116,7 +118,7 @@
 
 /// A send that has not ended.
 struct Sent {
-    flight: Flight,
+    in_flight: InFlightAttempt,
     at: Instant,
     /// Dropped or used to give it up; `None` once that was done.
     give_up: Option<oneshot::Sender<()>>,
@@ -125,9 +127,9 @@
 /// A request without its final answer.
 struct Open {
     id: Box<str>,
-    forward: Arc<Forward>,
-    client: Weak<Peer>,
-    reply: oneshot::Sender<Final>,
+    forwarded: Arc<ForwardedRequest>,
+    client: Weak<DisconnectDetector>,
+    reply: oneshot::Sender<FinalResponse>,
     sends: u32,
     deadline: Instant,
     timer: (Instant, u64),
@@ -146,9 +148,9 @@
     settings: SettingsObject,
     columns: Vec<Column>,
     subscribed: bool,
-    front: Arc<Front>,
-    inbox: mpsc::UnboundedReceiver<Happening>,
-    happenings: mpsc::UnboundedSender<Happening>,
+    frontend: Arc<Frontend>,
+    inbox: mpsc::UnboundedReceiver<DriverEvent>,
+    events: mpsc::UnboundedSender<DriverEvent>,
     discovery: SocketAddr,
     seq: u64,
     watch: Option<AbortOnDrop>,
@@ -163,7 +165,7 @@
     /// The ids that clients gave the open requests.
     ids: HashSet<Box<str>>,
     sent: BTreeMap<(RequestId, AttemptNo), Sent>,
-    servers: Servers,
+    upstreams: UpstreamRegistry,
     timers: BTreeMap<(Instant, u64), Timer>,
     next_timer: u64,
     descriptors: Arc<Descriptors>,
@@ -179,8 +181,8 @@
         settings: SettingsObject,
         seed: u64,
         discovery: SocketAddr,
-        front: Arc<Front>,
-        inbox: mpsc::UnboundedReceiver<Happening>,
+        frontend: Arc<Frontend>,
+        inbox: mpsc::UnboundedReceiver<DriverEvent>,
         descriptors: Arc<Descriptors>,
     ) -> Driver {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -192,8 +194,8 @@
             subscribed: matches!(told.discovery, Discovery::Subscribed { .. }),
             module: Balancer::new(told, seed),
             columns: settings.columns(),
-            happenings: front.happenings.clone(),
-            front,
+            events: frontend.events.clone(),
+            frontend,
             inbox,
             discovery,
             seq: 0,
@@ -206,7 +208,7 @@
             open: HashMap::new(),
             ids: HashSet::new(),
             sent: BTreeMap::new(),
-            servers: Servers::new(unix.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
+            upstreams: UpstreamRegistry::new(unix.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
             timers: BTreeMap::new(),
             next_timer: 0,
             descriptors,
@@ -230,8 +232,8 @@
             let due = self.timers.keys().next().map(|key| key.0);
             tokio::select! {
                 biased;
-                happening = self.inbox.recv() => match happening {
-                    Some(happening) => self.happened(happening),
+                event = self.inbox.recv() => match event {
+                    Some(event) => self.happened(event),
                     None => return,
                 },
                 () = sleep_until(due.unwrap_or_else(|| Instant::now() + SWEEP)) => {}
@@ -244,16 +246,16 @@
     /// one tells it again, since it goes on from the last version that was taken in.
     fn watch(&mut self, moved: bool) {
         self.watches += 1;
-        let (address, number, news) = (self.discovery, self.watches, self.happenings.clone());
+        let (address, id, events) = (self.discovery, self.watches, self.events.clone());
         let drain_grace = Duration::from_secs_f64(self.settings.drain_grace_ms() / 1e3);
         let rng = Rand64::new(u128::from(self.rng.rand_u64()));
         let descriptors = self.descriptors.clone();
-        let watch = Watch { address, number, seq: self.seq, news, drain_grace, rng, descriptors };
+        let watch = Watch { address, id, seq: self.seq, events, drain_grace, rng, descriptors };
         self.moving = moved;
         self.watch = Some(AbortOnDrop(if self.subscribed {
-            tokio::spawn(watch.ask(moved))
+            tokio::spawn(watch.run_once(moved))
         } else {
-            tokio::spawn(watch.keep())
+            tokio::spawn(watch.run_forever())
         }));
     }
 
@@ -276,14 +278,14 @@
             match entry.remove() {
                 Timer::Wake(token) => self.event(Event::Woke(token)),
                 Timer::Backstop(request) => self.backstop(request),
-                Timer::UpWithoutList if !self.front.ready.swap(true, Ordering::Relaxed) => {
+                Timer::UpWithoutList if !self.frontend.ready.swap(true, Ordering::Relaxed) => {
                     log::line("no list of upstreams yet: up without one, and what comes is refused");
                 }
                 Timer::UpWithoutList => {}
                 Timer::Sweep => {
                     let limit = self.idle_limit();
-                    self.servers.pools().for_each(|pool| pool.sweep(limit));
-                    self.servers.forget(self.sent.values().map(|sent| sent.flight.upstream));
+                    self.upstreams.pools().for_each(|pool| pool.close_expired(limit));
+                    self.upstreams.remove_gone(self.sent.values().map(|sent| sent.in_flight.upstream));
                     self.set_timer(now + SWEEP, Timer::Sweep);
                 }
             }
@@ -295,12 +297,12 @@
     /// has it none.
     fn backstop(&mut self, request: RequestId) {
         let all = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
-        let out: Vec<Flight> = self.sent.range(all).map(|(_, sent)| sent.flight).collect();
-        for flight in out {
-            self.ended(flight, End::Outcome(Outcome::TimedOut, None));
+        let out: Vec<InFlightAttempt> = self.sent.range(all).map(|(_, sent)| sent.in_flight).collect();
+        for in_flight in out {
+            self.ended(in_flight, AttemptResult::Outcome(Outcome::TimedOut, None));
         }
         if self.open.contains_key(&request) {
-            self.finish(request, Final::Failed);
+            self.finish(request, FinalResponse::Failed);
             self.leave(request);
         }
     }
@@ -320,34 +322,40 @@
         self.actions = actions;
     }
 
-    fn happened(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrived(arrival) => self.arrived(*arrival),
-            Happening::ClientLeft(request) => self.client_left(request),
-            Happening::Connected(flight, connection) => self.connected(flight, connection),
-            Happening::Ended { flight, end } => self.ended(flight, end),
-            Happening::Idle { upstream, life, connection } => self.put_back(upstream, life, *connection),
-            Happening::Probed { upstream, answer } => {
-                let answered = answer.as_ref().is_some_and(|answer| answer.status == 200);
-                let text = answer.filter(|_| answered);
-                let text = text.as_ref().and_then(|answer| std::str::from_utf8(&answer.body).ok());
+    fn happened(&mut self, event: DriverEvent) {
+        match event {
+            DriverEvent::RequestArrived(client_request) => self.arrived(*client_request),
+            DriverEvent::ClientDisconnected(request) => self.client_left(request),
+            DriverEvent::ConnectFinished(in_flight, connection) => self.connected(in_flight, connection),
+            DriverEvent::AttemptEnded { in_flight, result } => self.ended(in_flight, result),
+            DriverEvent::ConnectionReturned { upstream, incarnation, connection } => {
+                self.put_back(upstream, incarnation, *connection)
+            }
+            DriverEvent::ProbeFinished { upstream, response } => {
+                let answered = response.as_ref().is_some_and(|response| response.status == 200);
+                let text = response.filter(|_| answered);
+                let text = text.as_ref().and_then(|response| std::str::from_utf8(&response.body).ok());
                 let report = text.and_then(|text| report_from_text(&self.columns, text));
                 self.event(Event::Probed { upstream, answered, report });
             }
-            Happening::Listed { watch, list } if watch == self.watches => self.listed(&list, false),
-            Happening::DiscoveryFailed { watch, seq } if watch == self.watches => {
+            DriverEvent::HostListReceived { watch_id, list } if watch_id == self.watches => {
+                self.listed(&list, false)
+            }
+            DriverEvent::DiscoveryFailed { watch_id, seq } if watch_id == self.watches => {
                 self.seq = seq;
                 self.moving = false;
                 self.event(Event::Listed(ListNews::Unavailable));
             }
             // Of a watch that another has taken the place of.
-            Happening::Listed { .. } | Happening::DiscoveryFailed { .. } => {}
-            Happening::Reloaded { discovery } => {
+            DriverEvent::HostListReceived { .. } | DriverEvent::DiscoveryFailed { .. } => {}
+            DriverEvent::ConfigReloaded { discovery } => {
                 self.discovery = discovery;
                 self.watch(true);
             }
-            Happening::OutOfDescriptors => while self.descriptors.is_over(0) && self.drop_oldest() {},
-            Happening::Ending => {
+            DriverEvent::ConnectionLimitLowered => {
+                while self.descriptors.is_over_limit(0) && self.close_oldest() {}
+            }
+            DriverEvent::ShutdownDeadline => {
                 self.ending = true;
                 let open: Vec<RequestId> = self.open.keys().copied().collect();
                 open.into_iter().for_each(|request| self.backstop(request));
@@ -355,21 +363,33 @@
         }
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { request, class, tenant, id, at, time_left, cost, forward, client, reply } = arrival;
+    fn arrived(&mut self, client_request: ClientRequest) {
+        let ClientRequest {
+            request,
+            class,
+            tenant,
+            id,
+            received_at,
+            time_left,
+            cost,
+            forwarded,
+            client,
+            reply,
+        } = client_request;
         if self.ending {
-            let _ = reply.send(Final::Refused(0.0));
+            let _ = reply.send(FinalResponse::Refused(0.0));
             return;
         }
         // Upstreams know a request by its id. One that says it is another's would be taken for that one's
         // next attempt.
         if !self.ids.insert(id.clone()) {
-            let _ = reply.send(Final::Rejected(StatusCode::CONFLICT));
+            let _ = reply.send(FinalResponse::Rejected(StatusCode::CONFLICT));
             return;
         }
-        let deadline = at + time_left.saturating_sub(IN_HAND);
-        let timer = self.set_timer(at + time_left.saturating_sub(BACKSTOP), Timer::Backstop(request));
-        let open = Open { id, forward: Arc::new(forward), client, reply, sends: 0, deadline, timer };
+        let deadline = received_at + time_left.saturating_sub(IN_HAND);
+        let timer =
+            self.set_timer(received_at + time_left.saturating_sub(BACKSTOP), Timer::Backstop(request));
+        let open = Open { id, forwarded: Arc::new(forwarded), client, reply, sends: 0, deadline, timer };
         self.open.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         self.event(Event::Arrived { request, class, tenant, time_left, cost });
@@ -403,10 +423,10 @@
     }
 
     /// Answers a request, if it is still owed one.
-    fn finish(&mut self, request: RequestId, answer: Final) -> bool {
+    fn finish(&mut self, request: RequestId, response: FinalResponse) -> bool {
         let Some(open) = self.close(request) else { return false };
         // The client may have gone in this very moment.
-        open.reply.send(answer).is_ok()
+        open.reply.send(response).is_ok()
     }
 
     fn act(&mut self, action: Action) {
@@ -418,10 +438,10 @@
                 }
             }
             Action::Refuse { request, retry_after } => {
-                self.finish(request, Final::Refused(retry_after));
+                self.finish(request, FinalResponse::Refused(retry_after));
             }
             Action::Fail(request) => {
-                self.finish(request, Final::Failed);
+                self.finish(request, FinalResponse::Failed);
             }
             Action::Probe(upstream) => self.probe(upstream),
             Action::WakeAt { at, token } => {
@@ -444,150 +464,156 @@
         let attempt = AttemptNo(open.sends);
         open.sends += 1;
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
-        let until = match now.checked_add(timeout) {
-            Some(until) if !timeout.is_zero() => until.min(open.deadline),
+        let deadline = match now.checked_add(timeout) {
+            Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline),
             _ => open.deadline,
         };
-        let life = self.servers.get(upstream).map_or(0, |server| server.life);
-        let flight = Flight { request, attempt, upstream, life, until };
-        self.sent.insert((request, attempt), Sent { flight, at: now, give_up: None });
-        self.start(flight);
+        let incarnation = self.upstreams.get(upstream).map_or(0, |server| server.incarnation);
+        let in_flight = InFlightAttempt { request, attempt, upstream, incarnation, deadline };
+        self.sent.insert((request, attempt), Sent { in_flight, at: now, give_up: None });
+        self.start(in_flight);
     }
 
     /// Gets a connection for an attempt: an idle one, or a new one.
-    fn start(&mut self, flight: Flight) {
+    fn start(&mut self, in_flight: InFlightAttempt) {
         let limit = self.idle_limit();
-        let Some(server) = self.servers.get_mut(flight.upstream) else {
-            return self.end_later(flight, Outcome::NotSent);
+        let Some(server) = self.upstreams.get_mut(in_flight.upstream) else {
+            return self.end_later(in_flight, Outcome::NotSent);
         };
         if let Some(connection) = server.pool.take(limit) {
-            return self.write(flight, connection);
+            return self.write(in_flight, connection);
         }
-        let dial = server.dial;
+        let address = server.address;
         // Out of sockets of our own: no fault of the upstream's.
-        let Some(permit) = self.permit() else { return self.end_later(flight, Outcome::NotSent) };
+        let Some(permit) = self.permit() else { return self.end_later(in_flight, Outcome::NotSent) };
         let (give_up, given_up) = oneshot::channel();
-        if let Some(sent) = self.sent.get_mut(&(flight.request, flight.attempt)) {
+        if let Some(sent) = self.sent.get_mut(&(in_flight.request, in_flight.attempt)) {
             sent.give_up = Some(give_up);
         }
         let by = Instant::now() + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
-        let (happenings, descriptors) = (self.happenings.clone(), self.descriptors.clone());
+        let (events, descriptors) = (self.events.clone(), self.descriptors.clone());
         tokio::spawn(async move {
             let result = tokio::select! {
-                result = Connection::open(dial, by.min(flight.until), permit, &descriptors) => result,
-                _ = given_up => Err(Unopened::GivenUp),
+                result = Connection::open(address, by.min(in_flight.deadline), permit, &descriptors) => result,
+                _ = given_up => Err(ConnectError::Cancelled),
             };
-            let _ = happenings.send(Happening::Connected(flight, result.map(Box::new)));
+            let _ = events.send(DriverEvent::ConnectFinished(in_flight, result.map(Box::new)));
         });
     }
 
     /// The right to one more connection; an idle one is closed for it if need be.
     fn permit(&mut self) -> Option<OwnedSemaphorePermit> {
-        while self.descriptors.is_over(1) && self.drop_oldest() {}
-        self.descriptors.permit()
+        while self.descriptors.is_over_limit(1) && self.close_oldest() {}
+        self.descriptors.try_acquire()
     }
 
     /// Closes the connection that is longest idle. Whether there was one.
-    fn drop_oldest(&mut self) -> bool {
-        let pools = self.servers.pools().filter(|pool| pool.oldest().is_some());
-        let Some(pool) = pools.min_by_key(|pool| pool.oldest()) else { return false };
-        pool.drop_oldest();
+    fn close_oldest(&mut self) -> bool {
+        let pools = self.upstreams.pools().filter(|pool| pool.oldest_idle_since().is_some());
+        let Some(pool) = pools.min_by_key(|pool| pool.oldest_idle_since()) else { return false };
+        pool.close_oldest();
         true
     }
 
-    fn connected(&mut self, flight: Flight, connection: Result<Box<Connection>, Unopened>) {
-        let key = (flight.request, flight.attempt);
+    fn connected(&mut self, in_flight: InFlightAttempt, connection: Result<Box<Connection>, ConnectError>) {
+        let key = (in_flight.request, in_flight.attempt);
         let given_up = self.sent.get(&key).is_none_or(|sent| sent.give_up.is_none());
         let connection = match connection {
             Ok(connection) => *connection,
-            Err(Unopened::Failed(reason)) if !given_up => {
-                let host = self.servers.get(flight.upstream).map_or("?", |server| &server.host);
+            Err(ConnectError::Failed(reason)) if !given_up => {
+                let host = self.upstreams.get(in_flight.upstream).map_or("?", |server| &server.host);
                 log::line(format!("upstream {host}: {reason}"));
-                return self.ended(flight, End::Outcome(Outcome::Unreachable, None));
+                return self.ended(in_flight, AttemptResult::Outcome(Outcome::Unreachable, None));
             }
-            Err(_) => return self.ended(flight, End::Outcome(Outcome::NotSent, None)),
+            Err(_) => return self.ended(in_flight, AttemptResult::Outcome(Outcome::NotSent, None)),
         };
         // While it connected, its time may have run out, the request may have ended or the upstream may have
         // begun to drain or to live anew: what is not written yet must not be.
-        let open = self.open.contains_key(&flight.request) && !given_up;
-        let in_time = Instant::now() < flight.until;
-        let wanted = self.servers.get(flight.upstream).is_some_and(|server| {
-            server.life == flight.life && server.listing.lifecycle == Lifecycle::Serving
+        let open = self.open.contains_key(&in_flight.request) && !given_up;
+        let in_time = Instant::now() < in_flight.deadline;
+        let wanted = self.upstreams.get(in_flight.upstream).is_some_and(|server| {
+            server.incarnation == in_flight.incarnation && server.listing.lifecycle == Lifecycle::Serving
         });
         if open && wanted && in_time {
-            return self.write(flight, connection);
+            return self.write(in_flight, connection);
         }
-        self.put_back(flight.upstream, flight.life, connection);
+        self.put_back(in_flight.upstream, in_flight.incarnation, connection);
         let outcome = if open { Outcome::Unreachable } else { Outcome::NotSent };
-        self.ended(flight, End::Outcome(outcome, None));
+        self.ended(in_flight, AttemptResult::Outcome(outcome, None));
     }
 
     /// Writes an attempt to a connection.
-    fn write(&mut self, flight: Flight, connection: Connection) {
-        let key = (flight.request, flight.attempt);
-        let Some(open) = self.open.get(&flight.request) else {
-            self.put_back(flight.upstream, flight.life, connection);
-            return self.end_later(flight, Outcome::NotSent);
+    fn write(&mut self, in_flight: InFlightAttempt, connection: Connection) {
+        let key = (in_flight.request, in_flight.attempt);
+        let Some(open) = self.open.get(&in_flight.request) else {
+            self.put_back(in_flight.upstream, in_flight.incarnation, connection);
+            return self.end_later(in_flight, Outcome::NotSent);
         };
-        let dial = self.servers.get(flight.upstream).map(|server| server.dial);
-        let left = flight.until.saturating_duration_since(connection.quiet_at().max(Instant::now()));
-        let request = outgoing(&open.forward, dial, left);
-        let body_len = open.forward.body.len();
+        let address = self.upstreams.get(in_flight.upstream).map(|server| server.address);
+        let left = in_flight.deadline.saturating_duration_since(connection.reusable_at().max(Instant::now()));
+        let request = outgoing(&open.forwarded, address, left);
+        let body_len = open.forwarded.body.len();
         let (give_up, given_up) = oneshot::channel();
         if let Some(sent) = self.sent.get_mut(&key) {
             sent.give_up = Some(give_up);
         }
-        let (client, happenings) = (open.client.clone(), self.happenings.clone());
-        tokio::spawn(attempt(connection, request, body_len, client, flight, given_up, happenings));
+        let (client, events) = (open.client.clone(), self.events.clone());
+        tokio::spawn(run_attempt(connection, request, body_len, client, in_flight, given_up, events));
     }
 
     /// Ends an attempt that never began, after the actions at hand.
-    fn end_later(&self, flight: Flight, outcome: Outcome) {
-        let _ = self.happenings.send(Happening::Ended { flight, end: End::Outcome(outcome, None) });
+    fn end_later(&self, in_flight: InFlightAttempt, outcome: Outcome) {
+        let _ = self
+            .events
+            .send(DriverEvent::AttemptEnded { in_flight, result: AttemptResult::Outcome(outcome, None) });
     }
 
-    fn ended(&mut self, flight: Flight, end: End) {
-        let key = (flight.request, flight.attempt);
-        let (outcome, answer) = match end {
-            End::Outcome(outcome, answer) => (outcome, answer),
+    fn ended(&mut self, in_flight: InFlightAttempt, result: AttemptResult) {
+        let key = (in_flight.request, in_flight.attempt);
+        let (outcome, response) = match result {
+            AttemptResult::Outcome(outcome, response) => (outcome, response),
             // Nothing was written: the same attempt goes on over another connection, if it still may.
-            End::Stale => {
+            AttemptResult::StaleConnection => {
                 let wanted = self.sent.get(&key).is_some_and(|sent| sent.give_up.is_some());
-                if wanted && Instant::now() < flight.until {
-                    return self.start(flight);
+                if wanted && Instant::now() < in_flight.deadline {
+                    return self.start(in_flight);
                 }
                 (Outcome::Unreachable, None)
             }
             // Its connection tells the same, if later.
-            End::ClientGone => {
-                self.client_left(flight.request);
+            AttemptResult::ClientDisconnected => {
+                self.client_left(in_flight.request);
                 (Outcome::NotSent, None)
             }
         };
         let Some(sent) = self.sent.remove(&key) else { return };
         let latency = sent.at.elapsed().as_secs_f64() * 1e3;
-        let report = answer.as_ref().and_then(|answer| {
-            let text = answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
+        let report = response.as_ref().and_then(|response| {
+            let text =
+                response.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
             report_from_text(&self.columns, text.to_str().ok()?)
         });
         // The first answer goes to the client by itself and ends the request; so does one that finds fault
         // with the request itself, which other upstreams would find as well.
-        let mut closed = !self.open.contains_key(&flight.request);
-        match (outcome, answer) {
-            (Outcome::Ok, Some(answer)) => {
-                self.finish(flight.request, Final::Served(client_headers(&answer.headers), answer.body));
+        let mut closed = !self.open.contains_key(&in_flight.request);
+        match (outcome, response) {
+            (Outcome::Ok, Some(response)) => {
+                self.finish(
+                    in_flight.request,
+                    FinalResponse::Served(client_headers(&response.headers), response.body),
+                );
                 closed = true;
             }
-            (Outcome::Cancelled, Some(answer)) => {
-                self.finish(flight.request, Final::Rejected(answer.status));
+            (Outcome::Cancelled, Some(response)) => {
+                self.finish(in_flight.request, FinalResponse::Rejected(response.status));
                 closed = true;
             }
             _ => {}
         }
         self.event(Event::Finished(Finished {
-            request: flight.request,
-            attempt: flight.attempt,
-            upstream: flight.upstream,
+            request: in_flight.request,
+            attempt: in_flight.attempt,
+            upstream: in_flight.upstream,
             outcome,
             latency,
             closed,
@@ -595,9 +621,12 @@
         }));
     }
 
-    fn put_back(&mut self, upstream: UpstreamId, life: u64, connection: Connection) {
-        let Some(server) = self.servers.get_mut(upstream) else { return };
-        if server.life == life && server.listing.lifecycle == Lifecycle::Serving && connection.is_usable() {
+    fn put_back(&mut self, upstream: UpstreamId, incarnation: u64, connection: Connection) {
+        let Some(server) = self.upstreams.get_mut(upstream) else { return };
+        if server.incarnation == incarnation
+            && server.listing.lifecycle == Lifecycle::Serving
+            && connection.is_usable()
+        {
             server.pool.put(connection);
         }
     }
@@ -605,21 +634,21 @@
     fn probe(&mut self, upstream: UpstreamId) {
         let limit = self.idle_limit();
         let now = Instant::now();
-        let nothing = Happening::Probed { upstream, answer: None };
-        let Some(server) = self.servers.get_mut(upstream) else {
-            let _ = self.happenings.send(nothing);
+        let nothing = DriverEvent::ProbeFinished { upstream, response: None };
+        let Some(server) = self.upstreams.get_mut(upstream) else {
+            let _ = self.events.send(nothing);
             return;
         };
-        let (dial, life) = (server.dial, server.life);
+        let (address, incarnation) = (server.address, server.incarnation);
         let source = match server.pool.take(limit) {
-            Some(connection) => Source::Idle(Box::new(connection)),
+            Some(connection) => ProbeConnection::Idle(Box::new(connection)),
             None => match self.permit() {
                 Some(permit) => {
                     let by = now + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
-                    Source::Dial(dial, by, permit, self.descriptors.clone())
+                    ProbeConnection::Connect(address, by, permit, self.descriptors.clone())
                 }
                 None => {
-                    let _ = self.happenings.send(nothing);
+                    let _ = self.events.send(nothing);
                     return;
                 }
             },
@@ -627,10 +656,17 @@
         let path = if self.columns.is_empty() { "/alive" } else { "/metrics/load" };
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = Uri::from_static(path);
-        if let Ok(host) = HeaderValue::from_str(&dial.to_string()) {
+        if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(header::HOST, host);
         }
-        tokio::spawn(probe(source, request, upstream, life, now + self.probe_time, self.happenings.clone()));
+        tokio::spawn(run_probe(
+            source,
+            request,
+            upstream,
+            incarnation,
+            now + self.probe_time,
+            self.events.clone(),
+        ));
     }
 
     // --- The list ----------------------------------------------------------------------------
@@ -640,8 +676,8 @@
         self.moving = false;
         let whole = list.whole || restored;
         let now = self.millis(Instant::now());
-        let listings = self.servers.take(list, whole, &self.settings, now);
-        self.front.ready.fetch_or(!listings.is_empty() || (whole && !restored), Ordering::Relaxed);
+        let listings = self.upstreams.apply_list(list, whole, &self.settings, now);
+        self.frontend.ready.fetch_or(!listings.is_empty() || (whole && !restored), Ordering::Relaxed);
         self.event(Event::Listed(match (restored, whole) {
             (true, _) => ListNews::Restored(listings),
             (false, true) => ListNews::Complete(listings),
@@ -651,20 +687,24 @@
 }
 
 /// The request as it goes to an upstream, which has so much time left for it when it is written.
-fn outgoing(forward: &Forward, dial: Option<SocketAddr>, left: Duration) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(forward.body.clone()));
-    *request.method_mut() = forward.method.clone();
-    *request.uri_mut() = forward.target.clone();
-    let mut headers = forward.headers.clone();
+fn outgoing(
+    forwarded: &ForwardedRequest,
+    address: Option<SocketAddr>,
+    left: Duration,
+) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(forwarded.body.clone()));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.target.clone();
+    let mut headers = forwarded.headers.clone();
     // The application's own Host goes on with its other headers; HTTP/1.1 wants one in any case.
-    let host = dial.filter(|_| !headers.contains_key(header::HOST));
-    if let Some(host) = host.and_then(|dial| HeaderValue::from_str(&dial.to_string()).ok()) {
+    let host = address.filter(|_| !headers.contains_key(header::HOST));
+    if let Some(host) = host.and_then(|address| HeaderValue::from_str(&address.to_string()).ok()) {
         headers.insert(header::HOST, host);
     }
     let left = left.as_millis().max(1) as u64;
     headers.insert("x-timeout-ms", HeaderValue::from(left));
-    if forward.method != Method::GET || !forward.body.is_empty() {
-        headers.insert(header::CONTENT_LENGTH, HeaderValue::from(forward.body.len()));
+    if forwarded.method != Method::GET || !forwarded.body.is_empty() {
+        headers.insert(header::CONTENT_LENGTH, HeaderValue::from(forwarded.body.len()));
     }
     *request.headers_mut() = headers;
     request
@@ -672,7 +712,7 @@
 
 /// An upstream's headers as they go on to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
+    let mut kept = end_to_end_headers(headers);
     kept.remove("x-server-load");
     kept
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,12 +2,12 @@
 //! what happened through a channel.
 
 pub mod client;
+pub mod client_stream;
 pub mod config;
-pub mod counted;
 pub mod descriptors;
 pub mod discovery;
 pub mod driver;
-pub mod inbound;
 pub mod log;
-pub mod servers;
-pub mod upstream;
+pub mod upstream_connection;
+pub mod upstream_registry;
+pub mod upstream_stream;
--- a/src/net/upstream.rs
+++ b/src/net/upstream_connection.rs
@@ -14,14 +14,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::counted::{Counted, Meter};
+use super::client_stream::DisconnectDetector;
 use super::descriptors::Descriptors;
-use super::driver::{Flight, Happening};
-use super::inbound::Peer;
+use super::driver::{DriverEvent, InFlightAttempt};
 use super::log;
+use super::upstream_stream::{ExchangeProgress, UpstreamStream};
 
-/// Bodies hold at most this much, both ways.
-pub const BODY_BYTES: usize = 64 << 10;
+/// Limit on the size of request and response bodies.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
 /// Once an answer has begun, its bytes follow each other: it is small and made before it is sent. When none has
@@ -38,7 +38,7 @@
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    meter: Arc<Meter>,
+    progress: Arc<ExchangeProgress>,
     /// Whether it has carried a request before.
     pub used: bool,
     /// Since when it has carried nothing.
@@ -47,33 +47,33 @@
 }
 
 impl Connection {
-    /// Connects by `until`.
+    /// Opens a connection before `deadline`.
     pub async fn open(
-        dial: SocketAddr,
-        until: Instant,
+        address: SocketAddr,
+        deadline: Instant,
         permit: OwnedSemaphorePermit,
         descriptors: &Descriptors,
-    ) -> Result<Connection, Unopened> {
-        let mut lacks = false;
-        let stream = match timeout_at(until, descriptors.connect(dial, &mut lacks)).await {
+    ) -> Result<Connection, ConnectError> {
+        let mut exhausted = false;
+        let stream = match timeout_at(deadline, descriptors.connect(address, &mut exhausted)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return Err(Unopened::Failed(format!("cannot connect: {error}"))),
-            Err(_) if lacks => return Err(Unopened::NoDescriptor),
-            Err(_) => return Err(Unopened::Failed("connecting took too long".to_owned())),
+            Ok(Err(error)) => return Err(ConnectError::Failed(format!("cannot connect: {error}"))),
+            Err(_) if exhausted => return Err(ConnectError::OutOfDescriptors),
+            Err(_) => return Err(ConnectError::Failed("connecting took too long".to_owned())),
         };
         // Without it the kernel may hold back a small request.
-        stream.set_nodelay(true).map_err(|error| Unopened::Failed(error.to_string()))?;
-        let (counted, meter) = Counted::new(stream);
+        stream.set_nodelay(true).map_err(|error| ConnectError::Failed(error.to_string()))?;
+        let (stream, progress) = UpstreamStream::new(stream);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
-            .handshake(TokioIo::new(counted))
+            .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Unopened::Failed(error.to_string()))?;
+            .map_err(|error| ConnectError::Failed(error.to_string()))?;
         let task = tokio::spawn(async move {
             // How an exchange failed shows at the exchange.
             let _ = connection.await;
         });
-        Ok(Connection { sender, task, meter, used: false, idle_since: Instant::now(), _permit: permit })
+        Ok(Connection { sender, task, progress, used: false, idle_since: Instant::now(), _permit: permit })
     }
 
     /// Whether it can take a request now, as far as this side knows.
@@ -81,8 +81,8 @@
         self.sender.is_ready()
     }
 
-    /// When the next request may be written to it.
-    pub fn quiet_at(&self) -> Instant {
+    /// The earliest time at which the next request may be written to it.
+    pub fn reusable_at(&self) -> Instant {
         if self.used { self.idle_since + QUIET } else { self.idle_since }
     }
 
@@ -107,19 +107,19 @@
     }
 }
 
-/// Why there is no connection.
-pub enum Unopened {
-    /// It failed, as this says.
+/// Why no connection was opened.
+pub enum ConnectError {
+    /// Connecting failed for the reason given.
     Failed(String),
-    /// This process had no descriptor for it: no fault of the upstream's.
-    NoDescriptor,
-    /// It is not wanted any more.
-    GivenUp,
+    /// This process had no free file descriptor: not a fault of the upstream.
+    OutOfDescriptors,
+    /// The attempt was given up while connecting.
+    Cancelled,
 }
 
-/// An upstream's answer, read whole.
+/// A complete response of an upstream.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -158,7 +158,9 @@
         (_, Some(_), true) => Some("an answer with two framings"),
         // It ends with the connection: nothing tells a whole one from one that broke off.
         (StatusCode::OK, None, false) => Some("an answer of no stated length"),
-        (_, Some(length), false) if length.to_str().ok().and_then(|l| l.parse().ok()) > Some(BODY_BYTES) => {
+        (_, Some(length), false)
+            if length.to_str().ok().and_then(|l| l.parse().ok()) > Some(MAX_BODY_BYTES) =>
+        {
             Some("an answer that is too long")
         }
         _ => None,
@@ -171,28 +173,28 @@
     mut request: Request<Full<Bytes>>,
     complete_at: u64,
     wanted: impl FnOnce() -> bool,
-) -> Result<Answer, Broken> {
-    let quiet_at = connection.quiet_at();
-    if quiet_at > Instant::now() {
-        sleep_until(quiet_at).await;
+) -> Result<UpstreamResponse, Broken> {
+    let reusable_at = connection.reusable_at();
+    if reusable_at > Instant::now() {
+        sleep_until(reusable_at).await;
     }
     if !wanted() {
         return Err(Broken::Unwanted);
     }
-    let Connection { sender, meter, .. } = connection;
-    let broken = || if meter.written() < complete_at { Broken::Unsent } else { Broken::Cut };
-    let notices = meter.clone();
-    hyper::ext::on_informational(&mut request, move |_| notices.answer_is_to_come());
+    let Connection { sender, progress, .. } = connection;
+    let broken = || if progress.bytes_written() < complete_at { Broken::Unsent } else { Broken::Cut };
+    let notices = progress.clone();
+    hyper::ext::on_informational(&mut request, move |_| notices.mark_response_pending());
     let response = sender.send_request(request).await.map_err(|_| broken())?;
-    meter.answer_has_begun();
+    progress.mark_response_started();
     let (head, body): (_, hyper::body::Incoming) = Response::into_parts(response);
     if let Some(reason) = unfit(&head) {
         return Err(Broken::Unfit(reason));
     }
-    match Limited::new(body, BODY_BYTES).collect().await {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => {
-            meter.answered();
-            Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() })
+            progress.mark_response_complete();
+            Ok(UpstreamResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
         }
         Err(error) if error.is::<LengthLimitError>() => Err(Broken::Unfit("an answer that is too long")),
         Err(_) => Err(broken()),
@@ -200,27 +202,27 @@
 }
 
 /// Comes back when an answer that has begun comes no further.
-async fn stalled(meter: &Meter) {
+async fn stalled(progress: &ExchangeProgress) {
     loop {
-        meter.answer_began().await;
+        progress.response_started().await;
         let mut still = 0;
-        let mut read = meter.read();
+        let mut read = progress.bytes_read();
         while still < 2 {
             sleep(STALL).await;
-            let now = meter.read();
+            let now = progress.bytes_read();
             (still, read) = if now == read { (still + 1, read) } else { (0, now) };
         }
         // A notice ahead of the answer may have ended meanwhile.
-        if meter.is_answering() {
+        if progress.is_reading_response() {
             return;
         }
     }
 }
 
 /// What an answer means for the attempt.
-fn outcome_of(answer: &Answer) -> Outcome {
-    let not_run = answer.headers.get("x-not-processed").is_some_and(|value| value == "1");
-    match answer.status {
+fn outcome_of(response: &UpstreamResponse) -> Outcome {
+    let not_run = response.headers.get("x-not-processed").is_some_and(|value| value == "1");
+    match response.status {
         StatusCode::OK => Outcome::Ok,
         // Without the mark nothing says that it never ran.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
@@ -233,136 +235,141 @@
     }
 }
 
-/// What an attempt came to.
-pub enum End {
-    /// It ended so, with the answer if one came.
-    Outcome(Outcome, Option<Answer>),
-    /// The idle connection had been closed and no byte was written to it: another may be used.
-    Stale,
-    /// The client had gone before a byte was written.
-    ClientGone,
+/// The result of an attempt.
+pub enum AttemptResult {
+    /// It ended with this outcome, and with a response if one was read.
+    Outcome(Outcome, Option<UpstreamResponse>),
+    /// The idle connection had been closed and no byte was written: the attempt may use another connection.
+    StaleConnection,
+    /// The client disconnected before a byte was written.
+    ClientDisconnected,
 }
 
-/// Carries one attempt over a connection until it ends, its time is up or `give_up` is dropped or used.
-pub async fn attempt(
+/// Carries out one attempt over a connection until it ends or times out, or until `give_up` is dropped or used.
+pub async fn run_attempt(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
     body_len: usize,
-    client: Weak<Peer>,
-    flight: Flight,
+    client: Weak<DisconnectDetector>,
+    in_flight: InFlightAttempt,
     give_up: oneshot::Receiver<()>,
-    happenings: mpsc::UnboundedSender<Happening>,
+    events: mpsc::UnboundedSender<DriverEvent>,
 ) {
-    let meter = connection.meter.clone();
-    let before = meter.written();
+    let progress = connection.progress.clone();
+    let before = progress.bytes_written();
     let complete_at = before + least_size(&request, body_len);
-    let (end, keep) = {
+    let (result, keep) = {
         let used = connection.used;
-        let wanted = || client.upgrade().is_some_and(|client| !client.is_gone());
+        let wanted = || client.upgrade().is_some_and(|client| !client.is_disconnected());
         let exchange = exchange(&mut connection, request, complete_at, wanted);
         tokio::select! {
             biased;
             result = exchange => match result {
-                Ok(answer) => (End::Outcome(outcome_of(&answer), Some(answer)), true),
-                Err(Broken::Unwanted) => (End::ClientGone, false),
-                Err(Broken::Unsent) if used && meter.written() == before => (End::Stale, false),
-                Err(Broken::Unsent) => (End::Outcome(Outcome::Unreachable, None), false),
-                Err(Broken::Cut) => (End::Outcome(Outcome::Reset, None), false),
+                Ok(response) => (AttemptResult::Outcome(outcome_of(&response), Some(response)), true),
+                Err(Broken::Unwanted) => (AttemptResult::ClientDisconnected, false),
+                Err(Broken::Unsent) if used && progress.bytes_written() == before =>
+                    (AttemptResult::StaleConnection, false),
+                Err(Broken::Unsent) => (AttemptResult::Outcome(Outcome::Unreachable, None), false),
+                Err(Broken::Cut) => (AttemptResult::Outcome(Outcome::Reset, None), false),
                 Err(Broken::Unfit(reason)) => {
-                    log::line(format!("upstream {}: {reason}", flight.upstream.0));
-                    (End::Outcome(Outcome::Error, None), false)
+                    log::line(format!("upstream {}: {reason}", in_flight.upstream.0));
+                    (AttemptResult::Outcome(Outcome::Error, None), false)
                 }
             },
-            () = stalled(&meter) => {
-                log::line(format!("upstream {}: an answer that does not end", flight.upstream.0));
-                (End::Outcome(Outcome::Error, None), false)
+            () = stalled(&progress) => {
+                log::line(format!("upstream {}: an answer that does not end", in_flight.upstream.0));
+                (AttemptResult::Outcome(Outcome::Error, None), false)
             }
-            _ = give_up => (End::Outcome(Outcome::Cancelled, None), false),
-            () = sleep_until(flight.until) => (End::Outcome(Outcome::TimedOut, None), false),
+            _ = give_up => (AttemptResult::Outcome(Outcome::Cancelled, None), false),
+            () = sleep_until(in_flight.deadline) => (AttemptResult::Outcome(Outcome::TimedOut, None), false),
         }
     };
-    if matches!(end, End::ClientGone) {
-        let _ = happenings.send(Happening::Ended { flight, end });
+    if matches!(result, AttemptResult::ClientDisconnected) {
+        let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
         // As it was before: it has carried nothing.
-        return give_back(Some(connection), flight.upstream, flight.life, &happenings);
+        return give_back(Some(connection), in_flight.upstream, in_flight.incarnation, &events);
     }
     if keep {
-        let _ = happenings.send(Happening::Ended { flight, end });
-        give_back(connection.settle().await, flight.upstream, flight.life, &happenings);
+        let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
+        give_back(connection.settle().await, in_flight.upstream, in_flight.incarnation, &events);
         return;
     }
     // Closed before the driver hears of it: the next attempt must not go out while this one may still run.
     connection.close().await;
-    let end = match end {
+    let result = match result {
         // The last byte was never written and now never will be.
-        End::Outcome(Outcome::TimedOut, None) if meter.written() < complete_at => {
-            End::Outcome(Outcome::Unreachable, None)
+        AttemptResult::Outcome(Outcome::TimedOut, None) if progress.bytes_written() < complete_at => {
+            AttemptResult::Outcome(Outcome::Unreachable, None)
         }
-        end => end,
+        result => result,
     };
-    let _ = happenings.send(Happening::Ended { flight, end });
+    let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
 }
 
-/// Probes an upstream over an idle connection, or a new one.
-pub async fn probe(
-    source: Source,
+/// Probes an upstream over an idle or a new connection.
+pub async fn run_probe(
+    source: ProbeConnection,
     request: Request<Full<Bytes>>,
     upstream: UpstreamId,
-    life: u64,
-    until: Instant,
-    happenings: mpsc::UnboundedSender<Happening>,
+    incarnation: u64,
+    deadline: Instant,
+    events: mpsc::UnboundedSender<DriverEvent>,
 ) {
     let opened = match source {
-        Source::Idle(connection) => Ok(*connection),
-        Source::Dial(dial, by, permit, descriptors) => {
-            Connection::open(dial, by.min(until), permit, &descriptors).await
+        ProbeConnection::Idle(connection) => Ok(*connection),
+        ProbeConnection::Connect(address, by, permit, descriptors) => {
+            Connection::open(address, by.min(deadline), permit, &descriptors).await
         }
     };
-    let mut answer = None;
+    let mut response = None;
     if let Ok(mut connection) = opened {
-        let result = timeout_at(until, exchange(&mut connection, request, 0, || true)).await;
+        let result = timeout_at(deadline, exchange(&mut connection, request, 0, || true)).await;
         if let Ok(Ok(got)) = result {
-            answer = Some(got);
-            let _ = happenings.send(Happening::Probed { upstream, answer });
-            return give_back(connection.settle().await, upstream, life, &happenings);
+            response = Some(got);
+            let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
+            return give_back(connection.settle().await, upstream, incarnation, &events);
         }
         connection.close().await;
     }
-    let _ = happenings.send(Happening::Probed { upstream, answer });
+    let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
 }
 
 fn give_back(
     connection: Option<Connection>,
     upstream: UpstreamId,
-    life: u64,
-    happenings: &mpsc::UnboundedSender<Happening>,
+    incarnation: u64,
+    events: &mpsc::UnboundedSender<DriverEvent>,
 ) {
     if let Some(connection) = connection {
-        let _ = happenings.send(Happening::Idle { upstream, life, connection: Box::new(connection) });
+        let _ = events.send(DriverEvent::ConnectionReturned {
+            upstream,
+            incarnation,
+            connection: Box::new(connection),
+        });
     }
 }
 
-/// Where a probe gets its connection.
-pub enum Source {
-    /// One that is open.
+/// The connection that a probe uses.
+pub enum ProbeConnection {
+    /// An idle connection of the pool.
     Idle(Box<Connection>),
-    /// A new one to this address, by this time.
-    Dial(SocketAddr, Instant, OwnedSemaphorePermit, Arc<Descriptors>),
+    /// A new connection to this address, to be opened by this time.
+    Connect(SocketAddr, Instant, OwnedSemaphorePermit, Arc<Descriptors>),
 }
 
-/// The idle connections to one upstream, the latest used last.
+/// The idle connections to one upstream, in the order in which they were returned.
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Vec<Connection>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Takes the one used last of those that have been quiet for long enough, so that the others can grow old and
     /// close; else the one that will be first.
     pub fn take(&mut self, idle_limit: Duration) -> Option<Connection> {
-        self.sweep(idle_limit);
+        self.close_expired(idle_limit);
         let now = Instant::now();
-        let at = self.idle.iter().rposition(|connection| connection.quiet_at() <= now).unwrap_or(0);
+        let at = self.idle.iter().rposition(|connection| connection.reusable_at() <= now).unwrap_or(0);
         (at < self.idle.len()).then(|| self.idle.remove(at))
     }
 
@@ -371,18 +378,18 @@
         self.idle.push(connection);
     }
 
-    /// Closes those that were closed by the upstream or have been idle for too long.
-    pub fn sweep(&mut self, idle_limit: Duration) {
+    /// Closes connections that the upstream has closed or that have been idle for `idle_limit`.
+    pub fn close_expired(&mut self, idle_limit: Duration) {
         self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_limit);
     }
 
-    /// Since when the one longest idle has been so.
-    pub fn oldest(&self) -> Option<Instant> {
+    /// Since when the longest idle connection has been idle.
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(|connection| connection.idle_since)
     }
 
-    /// Closes the one longest idle.
-    pub fn drop_oldest(&mut self) {
+    /// Closes the longest idle connection.
+    pub fn close_oldest(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
         }
--- a/src/net/servers.rs
+++ b/src/net/upstream_registry.rs
@@ -7,66 +7,66 @@
 use sagemast::settings::{Config as SettingsObject, spot};
 
 use super::discovery::{Health, Host, HostList};
-use super::upstream::Pool;
+use super::upstream_connection::ConnectionPool;
 
-/// An upstream that discovery named.
-pub struct Server {
+/// An upstream listed by discovery.
+pub struct RegisteredUpstream {
     /// Its name.
     pub host: String,
-    /// What the module knows of it.
+    /// Its entry as given to the decision module.
     pub listing: Listing,
-    /// Where it listens.
-    pub dial: SocketAddr,
-    /// Which of its lives this is: connections do not outlast one.
-    pub life: u64,
+    /// The address that it listens on.
+    pub address: SocketAddr,
+    /// Incremented when its address or its start time changes: connections are not reused across incarnations.
+    pub incarnation: u64,
     /// Its idle connections.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     born_ms: f64,
     /// Whether it is no more: it is forgotten as soon as nothing is out on it.
     gone: bool,
 }
 
-impl Server {
-    /// Closes its idle connections, and with the next life those that come back.
-    fn ends(&mut self) {
+impl RegisteredUpstream {
+    /// Marks it as gone and closes its idle connections. Connections that are returned later are closed as well.
+    fn mark_gone(&mut self) {
         self.listing.lifecycle = Lifecycle::Leaving;
         self.gone = true;
         self.pool.clear();
     }
 }
 
-/// All upstreams that are not forgotten.
-pub struct Servers {
+/// All known upstreams, by id and by name.
+pub struct UpstreamRegistry {
     ids: HashMap<String, UpstreamId>,
-    by_id: BTreeMap<UpstreamId, Server>,
+    by_id: BTreeMap<UpstreamId, RegisteredUpstream>,
     last_id: u64,
     /// Unix time at the driver's epoch, in milliseconds.
     epoch_unix_ms: f64,
 }
 
-impl Servers {
-    /// None yet. The module's clock starts at this Unix time.
-    pub fn new(epoch_unix_ms: f64) -> Servers {
-        Servers { ids: HashMap::new(), by_id: BTreeMap::new(), last_id: 1, epoch_unix_ms }
+impl UpstreamRegistry {
+    /// Creates an empty registry. `epoch_unix_ms` is the Unix time at which the module's clock starts.
+    pub fn new(epoch_unix_ms: f64) -> UpstreamRegistry {
+        UpstreamRegistry { ids: HashMap::new(), by_id: BTreeMap::new(), last_id: 1, epoch_unix_ms }
     }
 
     /// One of them.
-    pub fn get(&self, id: UpstreamId) -> Option<&Server> {
+    pub fn get(&self, id: UpstreamId) -> Option<&RegisteredUpstream> {
         self.by_id.get(&id)
     }
 
     /// The same, to change it.
-    pub fn get_mut(&mut self, id: UpstreamId) -> Option<&mut Server> {
+    pub fn get_mut(&mut self, id: UpstreamId) -> Option<&mut RegisteredUpstream> {
         self.by_id.get_mut(&id)
     }
 
     /// The idle connections to each.
-    pub fn pools(&mut self) -> impl Iterator<Item = &mut Pool> {
+    pub fn pools(&mut self) -> impl Iterator<Item = &mut ConnectionPool> {
         self.by_id.values_mut().map(|server| &mut server.pool)
     }
 
-    /// Takes in a list, or the changes in it, and returns it in the module's terms.
-    pub fn take(
+    /// Applies a whole list, or a change of it, and returns the module's form of its entries.
+    pub fn apply_list(
         &mut self,
         list: &HostList,
         whole: bool,
@@ -74,14 +74,14 @@
         now: Millis,
     ) -> Vec<Listing> {
         let mut listings: Vec<Listing> =
-            list.entries().map(|host| self.update(host, settings, now)).collect();
+            list.valid_hosts().map(|host| self.update(host, settings, now)).collect();
         if whole {
             // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.unread_names().filter_map(|name| self.ids.get(name));
+            let unread = list.invalid_host_names().filter_map(|name| self.ids.get(name));
             listings.extend(unread.filter_map(|id| self.by_id.get(id)).map(|server| server.listing.clone()));
             let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
             let missing = self.by_id.iter_mut().filter(|(id, _)| !named.contains(id));
-            missing.for_each(|(_, server)| server.ends());
+            missing.for_each(|(_, server)| server.mark_gone());
         }
         listings
     }
@@ -109,34 +109,34 @@
             weight: host.share,
             started,
         };
-        let server = self.by_id.entry(id).or_insert_with(|| Server {
+        let server = self.by_id.entry(id).or_insert_with(|| RegisteredUpstream {
             host: host.host.clone(),
             listing: listing.clone(),
-            dial: host.dial,
-            life: 0,
-            pool: Pool::default(),
+            address: host.dial,
+            incarnation: 0,
+            pool: ConnectionPool::default(),
             born_ms: host.born_ms,
             gone: false,
         });
         // Connections to another address or another life lead nowhere, or to the wrong process.
-        if server.dial != host.dial || server.born_ms != host.born_ms {
-            server.life += 1;
+        if server.address != host.dial || server.born_ms != host.born_ms {
+            server.incarnation += 1;
             server.pool.clear();
         }
-        (server.dial, server.born_ms, server.listing) = (host.dial, host.born_ms, listing.clone());
+        (server.address, server.born_ms, server.listing) = (host.dial, host.born_ms, listing.clone());
         server.gone = false;
         if lifecycle == Lifecycle::Leaving {
             server.pool.clear();
         }
         if host.health == Health::Gone {
-            server.ends();
+            server.mark_gone();
         }
         listing
     }
 
-    /// Forgets those that are gone and on which nothing is out: others come in their place under new names all
-    /// the time. A name that comes back later is that of a server that nothing is known of.
-    pub fn forget(&mut self, busy: impl Iterator<Item = UpstreamId>) {
+    /// Removes upstreams that are gone and have no attempt in flight: replacements keep coming under new names.
+    /// A name that is listed again later is treated as a new upstream.
+    pub fn remove_gone(&mut self, busy: impl Iterator<Item = UpstreamId>) {
         if self.by_id.values().any(|server| server.gone) {
             let busy: HashSet<UpstreamId> = busy.collect();
             self.by_id.retain(|id, server| !server.gone || busy.contains(id));
@@ -146,5 +146,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/net_servers.rs"]
+#[path = "../../tests/unit/net_upstream_registry.rs"]
 mod tests;
--- a/src/net/counted.rs
+++ b/src/net/upstream_stream.rs
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What has crossed a connection. hyper owns the stream, so this is shared with it.
+/// Progress of the current exchange on a connection. Shared with the stream, since hyper owns that.
 #[derive(Default)]
-pub struct Meter {
+pub struct ExchangeProgress {
     written: AtomicU64,
     read: AtomicU64,
     /// Whether a request has begun to be written that has no whole answer yet.
@@ -25,43 +25,43 @@
     began: Notify,
 }
 
-impl Meter {
-    /// Bytes that the kernel has taken so far.
-    pub fn written(&self) -> u64 {
+impl ExchangeProgress {
+    /// The number of bytes that the kernel has accepted so far.
+    pub fn bytes_written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Bytes that were read so far.
-    pub fn read(&self) -> u64 {
+    /// The number of bytes read so far.
+    pub fn bytes_read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
     }
 
-    /// Comes back once the first byte of an answer has been read.
-    pub async fn answer_began(&self) {
+    /// Waits until the first byte of a response has been read.
+    pub async fn response_started(&self) {
         while !self.answering.load(Ordering::Relaxed) {
             self.began.notified().await;
         }
     }
 
-    /// The head of the answer itself has come.
-    pub fn answer_has_begun(&self) {
+    /// Records that the head of the final response was read.
+    pub fn mark_response_started(&self) {
         if !self.answering.swap(true, Ordering::Relaxed) {
             self.began.notify_one();
         }
     }
 
-    /// Whether an answer has begun that is not whole.
-    pub fn is_answering(&self) -> bool {
+    /// Whether a response has begun and is not complete.
+    pub fn is_reading_response(&self) -> bool {
         self.answering.load(Ordering::Relaxed)
     }
 
-    /// What came was no more than a notice that the answer is still to come.
-    pub fn answer_is_to_come(&self) {
+    /// Records that an informational (1xx) response was read: the final response is still to come.
+    pub fn mark_response_pending(&self) {
         self.answering.store(false, Ordering::Relaxed);
     }
 
-    /// The answer is whole: what comes before the next request is written belongs to none.
-    pub fn answered(&self) {
+    /// Records that the response is complete: bytes that arrive before the next request belong to no request.
+    pub fn mark_response_complete(&self) {
         self.asked.store(false, Ordering::Relaxed);
         self.answering.store(false, Ordering::Relaxed);
     }
@@ -74,34 +74,34 @@
             return Err(io::Error::new(io::ErrorKind::InvalidData, "bytes that no request asked for"));
         }
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
-        self.answer_has_begun();
+        self.mark_response_started();
         Ok(())
     }
 }
 
-/// A TCP stream with a meter.
-pub struct Counted {
+/// A TCP stream to an upstream that records the progress of its exchanges.
+pub struct UpstreamStream {
     stream: TcpStream,
-    meter: Arc<Meter>,
+    progress: Arc<ExchangeProgress>,
 }
 
-impl Counted {
-    /// Wraps a stream; the counts start at 0.
-    pub fn new(stream: TcpStream) -> (Counted, Arc<Meter>) {
-        let meter = Arc::new(Meter::default());
-        (Counted { stream, meter: meter.clone() }, meter)
+impl UpstreamStream {
+    /// Wraps a stream; the counters start at 0.
+    pub fn new(stream: TcpStream) -> (UpstreamStream, Arc<ExchangeProgress>) {
+        let progress = Arc::new(ExchangeProgress::default());
+        (UpstreamStream { stream, progress: progress.clone() }, progress)
     }
 
     /// Before the first byte of a request goes out: bytes that wait in the socket now would be read as its
     /// answer, and one that the upstream has closed would swallow it. The socket itself is asked, since the
     /// runtime hears of what came only when it next turns to the kernel.
     fn begin(&self) -> io::Result<()> {
-        if self.meter.asked.load(Ordering::Relaxed) {
+        if self.progress.asked.load(Ordering::Relaxed) {
             return Ok(());
         }
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                self.meter.asked.store(true, Ordering::Relaxed);
+                self.progress.asked.store(true, Ordering::Relaxed);
                 Ok(())
             }
             Err(error) => Err(error),
@@ -113,13 +113,13 @@
 
     fn count(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = result {
-            self.meter.written.fetch_add(bytes as u64, Ordering::Relaxed);
+            self.progress.written.fetch_add(bytes as u64, Ordering::Relaxed);
         }
         result
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for UpstreamStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -127,7 +127,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        let counted = self.meter.count_read(buf.filled().len() - before);
+        let counted = self.progress.count_read(buf.filled().len() - before);
         // Where the upstream's kernel holds small writes back, what it says behind an answer would come only with
         // our acknowledgement, up to 40 ms later. A kernel that knows no such thing does without.
         let _ = SockRef::from(&self.stream).set_tcp_quickack(true);
@@ -135,7 +135,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for UpstreamStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.begin()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
@@ -166,5 +166,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/net_counted.rs"]
+#[path = "../../tests/unit/net_upstream_stream.rs"]
 mod tests;
--- a/tests/unit/net_config.rs
+++ b/tests/unit/net_config.rs
@@ -10,9 +10,9 @@
 #[test]
 fn a_minimal_configuration_is_enough() {
     let config = Config::parse(MINIMAL.as_bytes()).expect("it holds all that is needed");
-    assert_eq!(config.limits.connections(), 500);
+    assert_eq!(config.limits.connections_per_side(), 500);
     let scarce = Limits { memory_mb: 16, ..config.limits };
-    assert_eq!(scarce.connections(), 64, "memory binds before sockets");
+    assert_eq!(scarce.connections_per_side(), 64, "memory binds before sockets");
     assert!(config.known.is_none());
 }
 
--- a/tests/unit/net_discovery.rs
+++ b/tests/unit/net_discovery.rs
@@ -44,6 +44,6 @@
         {"host":"b","dial":"nowhere","health":"ready"},{"host":"c","dial":"127.0.0.1:1","health":"odd"}, 7]}"#,
     )
     .unwrap();
-    let names: Vec<String> = list.entries().map(|host| host.host.clone()).collect();
+    let names: Vec<String> = list.valid_hosts().map(|host| host.host.clone()).collect();
     assert_eq!(names, ["a"]);
 }
