--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,7 +4,7 @@
 mod common;
 mod fleet_stage;
 
-use common::{BY_CELL, Stage, listing, sent_to, settings};
+use common::{BalancerHarness, KEYED_PER_CELL, listing, sent_to, settings};
 use fleet_stage::*;
 use sagemast::api::*;
 
@@ -142,11 +142,11 @@
     // Two servers of one cell, one of them cold, and eighteen that have a cell each.
     let cold = Listing { started: Some(1_000.0), ..listing(2) };
     let others = (1..=18).map(|cell| listing(10 * cell));
-    let mut stage = Stage::new(settings, [listing(1), cold].into_iter().chain(others).collect());
+    let mut stage = BalancerHarness::new(settings, [listing(1), cold].into_iter().chain(others).collect());
     let (mut unanswered, mut to_cold) = (0, 0);
     for _ in 0..(SECONDS * PER_S) as usize {
         stage.now += 1_000.0 / PER_S;
-        let (request, actions) = stage.arrive(BY_CELL);
+        let (request, actions) = stage.arrive(KEYED_PER_CELL);
         let Some(first) = sent_to(&actions) else { continue };
         to_cold += usize::from(first.0 == 2);
         // The warm one of the two never gets to answer: it may have run.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,31 +1,35 @@
-//! A small stage for the module: settings, servers and events, without any bench.
+//! Drives a single [`Balancer`] without a network or a clock: settings, listings and events.
 #![allow(dead_code)]
 
 use sagemast::Balancer;
 use sagemast::api::*;
 
+// Indices into the classes of `settings`.
 pub const REPEATABLE: ClassId = ClassId(0);
-pub const BY_CELL: ClassId = ClassId(1);
+pub const KEYED_PER_CELL: ClassId = ClassId(1);
 pub const ONCE: ClassId = ClassId(2);
-pub const BY_ZONE: ClassId = ClassId(3);
-pub const BY_ALL: ClassId = ClassId(4);
+pub const KEYED_PER_ZONE: ClassId = ClassId(3);
+pub const KEYED_FLEET_WIDE: ClassId = ClassId(4);
 
+/// A class with an aim of 200 ms.
 pub fn class(effect: Effect) -> Class {
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
 }
 
-pub fn keyed(scope: Scope) -> Class {
+/// A class deduplicated by key within a scope and a window of 300 ms.
+pub fn keyed_class(scope: Scope) -> Class {
     class(Effect::ByKey { scope, window: 300.0 })
 }
 
+/// One class of each effect and scope, and no tenants.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
             class(Effect::Repeatable),
-            keyed(Scope::Cell),
+            keyed_class(Scope::Cell),
             class(Effect::Once),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            keyed_class(Scope::Zone),
+            keyed_class(Scope::All),
         ],
         tenants: Vec::new(),
         over_quota_worth: 1.0,
@@ -48,6 +52,7 @@
     }
 }
 
+/// A server of zone 0; ten consecutive ids share a cell.
 pub fn listing(id: u64) -> Listing {
     Listing {
         upstream: UpstreamId(id),
@@ -61,46 +66,49 @@
     }
 }
 
-/// Drives one module and keeps what it did last.
-pub struct Stage {
+/// A balancer with a simulated clock.
+pub struct BalancerHarness {
     pub balancer: Balancer,
     pub now: Millis,
-    next: u64,
+    last_request_id: u64,
 }
 
-impl Stage {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> Stage {
-        Stage::seeded(settings, servers, 7)
+impl BalancerHarness {
+    pub fn new(settings: Settings, servers: Vec<Listing>) -> BalancerHarness {
+        BalancerHarness::with_seed(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
-        let mut stage = Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
-        stage.event(Event::Listed(ListNews::Restored(servers)));
-        stage
+    pub fn with_seed(settings: Settings, servers: Vec<Listing>, seed: u64) -> BalancerHarness {
+        let mut harness =
+            BalancerHarness { balancer: Balancer::new(settings, seed), now: 1_000.0, last_request_id: 0 };
+        harness.handle_event(Event::Listed(ListNews::Restored(servers)));
+        harness
     }
 
-    /// Reports the same from all these servers for long enough to be believed.
-    pub fn settle(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
+    /// Reports the same load from all these servers every 50 ms for 2 s, until the smoothed estimates settle.
+    pub fn report_steady_load(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
             ids.iter().for_each(|id| self.report(*id, in_flight, utilisation));
         }
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+    /// Passes an event to the balancer at the current time and returns the resulting actions.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// A request comes in; its id and what was done.
+    /// A request arrives with 500 ms left. Returns its id and the resulting actions.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request_id += 1;
+        let request = RequestId(self.last_request_id);
         let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, cost: None };
-        (request, self.event(event))
+        (request, self.handle_event(event))
     }
 
+    /// An attempt ends; the request ends with it only on [`Outcome::Ok`].
     pub fn finish(
         &mut self,
         request: RequestId,
@@ -109,7 +117,7 @@
         outcome: Outcome,
         latency: Millis,
     ) -> Vec<Action> {
-        self.event(Event::Finished(Finished {
+        self.handle_event(Event::Finished(Finished {
             request,
             attempt: AttemptNo(attempt),
             upstream,
@@ -120,19 +128,20 @@
         }))
     }
 
+    /// A load report arrives in answer to a probe.
     pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
-        self.probed(id, in_flight, utilisation);
+        self.probe_answered(id, in_flight, utilisation);
     }
 
-    /// The same, with what was done upon it.
-    pub fn probed(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
+    /// Like [`BalancerHarness::report`]; returns the resulting actions.
+    pub fn probe_answered(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
-        self.event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) })
+        self.handle_event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) })
     }
 }
 
-/// Where the first send among these actions goes.
+/// The upstream of the first send among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Stage, listing, sent_to, settings};
+use common::{BalancerHarness, listing, sent_to, settings};
 use loopback::*;
 use sagemast::api::{Action, AttemptNo, ClassId, Event, Finished, Limits, ListNews, Outcome};
 
@@ -29,7 +29,7 @@
 fn abandoned_after(ended: u32, class: ClassId, first: Outcome, last: Outcome, limits: &Limits) {
     let mut settings = settings();
     settings.limits = limits.clone();
-    let mut stage = Stage::new(settings, [1, 2, 3, 4].map(listing).to_vec());
+    let mut stage = BalancerHarness::new(settings, [1, 2, 3, 4].map(listing).to_vec());
     let (request, mut actions) = stage.arrive(class);
     for attempt in 0..ended {
         let Some(to) = sent_to(&actions) else { return };
@@ -37,10 +37,10 @@
         actions = stage.finish(request, attempt, to, first, 20.0);
     }
     let out = sent_to(&actions);
-    let mut after = stage.event(Event::Abandoned(request));
+    let mut after = stage.handle_event(Event::Abandoned(request));
     if let Some(upstream) = out {
         for closed in [false, true] {
-            after.extend(stage.event(Event::Finished(Finished {
+            after.extend(stage.handle_event(Event::Finished(Finished {
                 request,
                 attempt: AttemptNo(ended),
                 upstream,
@@ -52,13 +52,13 @@
         }
     }
     // What might bring up something that was held back: a second word of it, time, timers, news, reports.
-    after.extend(stage.event(Event::Abandoned(request)));
+    after.extend(stage.handle_event(Event::Abandoned(request)));
     for token in 0..8 {
         stage.now += 50.0;
-        after.extend(stage.event(Event::Woke(token)));
-        after.extend(stage.probed(1, 0.0, 0.1));
+        after.extend(stage.handle_event(Event::Woke(token)));
+        after.extend(stage.probe_answered(1, 0.0, 0.1));
     }
-    after.extend(stage.event(Event::Listed(ListNews::Complete([5, 6, 7].map(listing).to_vec()))));
+    after.extend(stage.handle_event(Event::Listed(ListNews::Complete([5, 6, 7].map(listing).to_vec()))));
     let cancel = Action::Cancel { request, attempt: AttemptNo(ended) };
     let owed: Vec<Action> = out.filter(|_| limits.cancel).map(|_| cancel).into_iter().collect();
     after.retain(|action| !matches!(action, Action::Probe(_) | Action::Log(_)));
@@ -105,7 +105,7 @@
     fn hold(mut self) {
         self.shell.stdin.take().unwrap().write_all(b"now\n").unwrap();
         assert!(self.shell.wait().unwrap().success());
-        until("it stands still", || std::fs::read_to_string(&self.stat).unwrap().contains(") T "));
+        wait_until("it stands still", || std::fs::read_to_string(&self.stat).unwrap().contains(") T "));
     }
 }
 
@@ -121,22 +121,22 @@
 }
 
 /// All ways to leave, each with nothing behind the request, with another request, and with more than is kept.
-fn ways() -> Vec<(Leaving, String)> {
-    let behind = [String::new(), request("fetch", 60_000), "x".repeat(40_000)];
-    let ways = [Leaving::Closes, Leaving::HalfCloses, Leaving::Resets];
+fn ways() -> Vec<(Disconnect, String)> {
+    let behind = [String::new(), http_request("fetch", 60_000), "x".repeat(40_000)];
+    let ways = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
     ways.into_iter().flat_map(|way| behind.clone().map(|bytes| (way, bytes))).collect()
 }
 
 /// Clients that have each sent a request.
 fn clients(sidecar: &Sidecar, number: usize) -> Vec<Client> {
-    let mut clients: Vec<Client> = (0..number).map(|_| Client::to(sidecar.address)).collect();
+    let mut clients: Vec<Client> = (0..number).map(|_| Client::connect(sidecar.address)).collect();
     clients.iter_mut().for_each(|client| client.send("fetch", 60_000));
     clients
 }
 
 /// Clients that may send one on a connection that has carried something.
 fn resting(sidecar: &Sidecar, number: usize) -> Vec<Client> {
-    let mut clients: Vec<Client> = (0..number).map(|_| Client::to(sidecar.address)).collect();
+    let mut clients: Vec<Client> = (0..number).map(|_| Client::connect(sidecar.address)).collect();
     clients.iter_mut().for_each(|client| drop(client.get("/up")));
     clients
 }
@@ -144,7 +144,7 @@
 /// They leave, in all ways; what is given back keeps the half-closed ones open.
 fn all_leave(clients: Vec<Client>) -> Vec<Client> {
     let leaving = clients.into_iter().zip(ways().into_iter().cycle());
-    leaving.filter_map(|(client, (way, behind))| depart(client, way, behind.as_bytes())).collect()
+    leaving.filter_map(|(client, (way, behind))| disconnect(client, way, behind.as_bytes())).collect()
 }
 
 /// What came to the servers of a test: the first lines.
@@ -157,23 +157,23 @@
 }
 
 /// Servers that do this with a fetch, and answer the rest after a moment in which many are out.
-fn servers(came: &Came, fetch: impl Fn() -> Deed + Send + Sync + Clone + 'static) -> [Upstream; 6] {
+fn servers(came: &Came, fetch: impl Fn() -> Behaviour + Send + Sync + Clone + 'static) -> [Upstream; 6] {
     [(); 6].map(|()| {
         let (came, fetch) = (came.clone(), fetch.clone());
         Upstream::new(move |message| {
-            came.lock().unwrap().push(message.line.clone());
-            if message.line.contains("/fetch?") {
+            came.lock().unwrap().push(message.start_line.clone());
+            if message.start_line.contains("/fetch?") {
                 return fetch();
             }
             std::thread::sleep(Duration::from_millis(30));
-            Deed::ok("served")
+            Behaviour::ok("served")
         })
     })
 }
 
 /// Leaves idle connections to the servers behind: a further attempt that has one goes out without a wait.
 fn warm(sidecar: &Sidecar) {
-    let mut clients: Vec<Client> = (0..24).map(|_| Client::to(sidecar.address)).collect();
+    let mut clients: Vec<Client> = (0..24).map(|_| Client::connect(sidecar.address)).collect();
     clients.iter_mut().for_each(|client| client.send("log", 60_000));
     clients.iter_mut().for_each(|client| assert!(client.read().is_some()));
     std::thread::sleep(Duration::from_millis(50));
@@ -187,15 +187,15 @@
     out: usize,
     all: usize,
     wait: Duration,
-    fetch: fn(&AtomicUsize) -> Deed,
+    fetch: fn(&AtomicUsize) -> Behaviour,
     then: impl Fn(&AtomicUsize),
 ) {
-    until("a round was in time", || {
+    wait_until("a round was in time", || {
         let came = Came::default();
         let go = Arc::new(AtomicUsize::new(0));
         let seen = go.clone();
         let upstreams = servers(&came, move || fetch(&seen));
-        let (sidecar, _discovery) = Sidecar::with_settings(&upstreams.each_ref(), settings);
+        let (sidecar, _discovery) = Sidecar::for_upstreams_with_settings(&upstreams.each_ref(), settings);
         warm(&sidecar);
         let mut resting = resting(&sidecar, (all - out) / 2);
         let brake = Brake::on(&sidecar);
@@ -214,7 +214,7 @@
             half_open
         });
         // It goes on, whatever it makes of its servers.
-        Client::to(sidecar.address).ask("log");
+        Client::connect(sidecar.address).exchange("log");
         std::thread::sleep(SETTLED);
         assert_eq!(count(&came, "fetch"), before, "sent on after their clients had left");
         before == out
@@ -226,38 +226,38 @@
 
 #[test]
 fn a_time_out_that_comes_due_while_the_client_leaves_is_not_followed_by_another_attempt() {
-    let duplicates = SETTINGS.replace(r#""may_duplicate":false"#, r#""may_duplicate":true"#);
-    for settings in [SETTINGS, &duplicates] {
-        none_goes_on(settings, 9, 9, NEARLY_TIMED_OUT, |_| Deed::Silence, |_| {});
+    let duplicates = SETTINGS_JSON.replace(r#""may_duplicate":false"#, r#""may_duplicate":true"#);
+    for settings in [SETTINGS_JSON, &duplicates] {
+        none_goes_on(settings, 9, 9, NEARLY_TIMED_OUT, |_| Behaviour::NoResponse, |_| {});
     }
 }
 
 #[test]
 fn of_two_hundred_that_leave_at_once_none_is_sent_on() {
-    none_goes_on(SETTINGS, 20, 200, NEARLY_TIMED_OUT, |_| Deed::Silence, |_| {});
+    none_goes_on(SETTINGS_JSON, 20, 200, NEARLY_TIMED_OUT, |_| Behaviour::NoResponse, |_| {});
 }
 
 #[test]
 fn a_failure_that_comes_while_the_client_leaves_is_not_followed_by_another_attempt() {
     fn let_go(go: &AtomicUsize) {
-        until("the test lets go", || go.load(Ordering::SeqCst) > 0);
+        wait_until("the test lets go", || go.load(Ordering::SeqCst) > 0);
     }
-    let deeds: [fn(&AtomicUsize) -> Deed; 3] = [
+    let deeds: [fn(&AtomicUsize) -> Behaviour; 3] = [
         |go| {
             let_go(go);
-            Deed::Close
+            Behaviour::Close
         },
         |go| {
             let_go(go);
-            Deed::Answer(500, "", vec![])
+            Behaviour::Respond(500, "", vec![])
         },
         |go| {
             let_go(go);
-            Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])
+            Behaviour::Respond(503, "X-Not-Processed: 1\r\n", vec![])
         },
     ];
     for deed in deeds {
-        none_goes_on(SETTINGS, 9, 9, Duration::ZERO, deed, |go| go.store(1, Ordering::SeqCst));
+        none_goes_on(SETTINGS_JSON, 9, 9, Duration::ZERO, deed, |go| go.store(1, Ordering::SeqCst));
     }
 }
 
@@ -274,12 +274,12 @@
 }
 
 fn waiting(came: &Came, upstream: &Upstream, settings: &str) -> Waiting {
-    let (sidecar, _discovery) = Sidecar::with_settings(&[upstream], settings);
-    let mut first = Client::to(sidecar.address);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::for_upstreams_with_settings(&[upstream], settings);
+    let mut first = Client::connect(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     let brake = Brake::on(&sidecar);
     let before = count(came, "fetch");
-    assert_eq!(first.ask("bill").status(), 200);
+    assert_eq!(first.exchange("bill").status(), 200);
     client.send("fetch", 60_000);
     // Enough to read it, and less than the wait.
     std::thread::sleep(Duration::from_millis(3));
@@ -289,16 +289,16 @@
 #[test]
 fn a_request_that_waits_for_a_quiet_connection_is_not_written_after_its_client_has_left() {
     // Probes would come with connections of their own.
-    let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false"#);
+    let settings = SETTINGS_JSON.replace(r#""probes":true"#, r#""probes":false"#);
     for (way, behind) in ways() {
         let came = Came::default();
-        let upstreams = servers(&came, || Deed::ok("served"));
-        until("a round was in time", || {
+        let upstreams = servers(&came, || Behaviour::ok("served"));
+        wait_until("a round was in time", || {
             let Waiting { sidecar, _discovery, mut first, client, brake, before } =
                 waiting(&came, &upstreams[0], &settings);
             let (_half_open, out) =
-                held_up(&sidecar, brake, &came, || depart(client, way, behind.as_bytes()));
-            assert_eq!(first.ask("bill").status(), 200);
+                held_up(&sidecar, brake, &came, || disconnect(client, way, behind.as_bytes()));
+            assert_eq!(first.exchange("bill").status(), 200);
             std::thread::sleep(Duration::from_millis(50));
             assert_eq!(count(&came, "fetch"), out, "{way:?} with {} bytes behind", behind.len());
             out == before
@@ -308,10 +308,10 @@
 
 #[test]
 fn what_a_client_that_stays_has_sent_behind_its_request_is_read_after_its_answer() {
-    let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false"#);
+    let settings = SETTINGS_JSON.replace(r#""probes":true"#, r#""probes":false"#);
     let came = Came::default();
-    let upstreams = servers(&came, || Deed::ok("served"));
-    until("a round was in time", || {
+    let upstreams = servers(&came, || Behaviour::ok("served"));
+    wait_until("a round was in time", || {
         let Waiting { sidecar, _discovery, first: _first, mut client, brake, before } =
             waiting(&came, &upstreams[0], &settings);
         // The socket is asked for its end and holds this instead.
@@ -324,24 +324,30 @@
 
 #[test]
 fn a_connection_that_comes_up_while_the_client_leaves_is_not_written_to() {
-    let late = Late::new();
-    let known = list(5, true, &[entry("a", late.listener.local_addr().unwrap(), "ready")]);
+    let late = FullAcceptQueue::new();
+    let known = host_list(5, true, &[host_entry("a", late.listener.local_addr().unwrap(), "ready")]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, &patient()));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json(
+        "127.0.0.1:0",
+        discovery.address,
+        &known,
+        1024,
+        &long_timeout_settings_json(),
+    ));
+    sidecar.wait_until_up();
     let clients = clients(&sidecar, 9);
     // Long enough to begin to connect; were it not, nothing would fail here.
     std::thread::sleep(Duration::from_millis(300));
     let brake = Brake::on(&sidecar);
     let ((_half_open, written), _) = held_up(&sidecar, brake, &Came::default(), || {
         let half_open = all_leave(clients);
-        let written = late.accept("fetch");
+        let written = late.start_accepting("fetch");
         // The kernel tries anew to connect after 1 and 3 s.
         std::thread::sleep(Duration::from_millis(3_200));
         (half_open, written)
     });
     // It goes on, whatever it makes of its server.
-    Client::to(sidecar.address).ask("bill");
+    Client::connect(sidecar.address).exchange("bill");
     std::thread::sleep(SETTLED);
     assert_eq!(written.load(Ordering::SeqCst), 0);
 }
@@ -349,23 +355,23 @@
 #[test]
 fn a_request_that_is_read_after_its_client_has_left_is_not_sent_on() {
     // On resting connections and in the accept queue, with idle connections to servers: two hundred in all.
-    for deed in [|| Deed::ok("served"), || Deed::AnswerAndClose] {
+    for deed in [|| Behaviour::ok("served"), || Behaviour::RespondAndClose] {
         let came = Came::default();
         let upstreams = servers(&came, deed);
-        let (sidecar, _discovery) = Sidecar::with(&upstreams.each_ref());
+        let (sidecar, _discovery) = Sidecar::for_upstreams(&upstreams.each_ref());
         warm(&sidecar);
         let mut resting = resting(&sidecar, 100);
         // These connections to servers are closed by them just as it stands still.
-        let mut last: Vec<Client> = (0..10).map(|_| Client::to(sidecar.address)).collect();
+        let mut last: Vec<Client> = (0..10).map(|_| Client::connect(sidecar.address)).collect();
         let brake = Brake::on(&sidecar);
         last.iter_mut().for_each(|client| client.send("fetch", 60_000));
         last.iter_mut().for_each(|client| drop(client.read()));
         let (_half_open, before) = held_up(&sidecar, brake, &came, || {
-            resting.extend((0..100).map(|_| Client::to(sidecar.address)));
+            resting.extend((0..100).map(|_| Client::connect(sidecar.address)));
             resting.iter_mut().for_each(|client| client.send("fetch", 60_000));
             all_leave(resting)
         });
-        assert_eq!(Client::to(sidecar.address).ask("log").status(), 200);
+        assert_eq!(Client::connect(sidecar.address).exchange("log").status(), 200);
         std::thread::sleep(SETTLED);
         assert_eq!(count(&came, "fetch"), before);
     }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -7,7 +7,7 @@
 
 /// Serves 300 requests, answering each send after `took`; how many were served.
 fn serve(settings: Settings, servers: Vec<Listing>, piggyback: bool) -> (usize, usize) {
-    let mut stage = Stage::new(settings, servers);
+    let mut stage = BalancerHarness::new(settings, servers);
     let (mut served, mut probes) = (0, 0);
     for _ in 0..300 {
         stage.now += 30.0;
@@ -15,7 +15,7 @@
         probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
-        stage.event(Event::Finished(Finished {
+        stage.handle_event(Event::Finished(Finished {
             request,
             attempt: AttemptNo(0),
             upstream,
@@ -56,7 +56,7 @@
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecars = 0;
-    let mut stage = Stage::new(settings, vec![listing(1)]);
+    let mut stage = BalancerHarness::new(settings, vec![listing(1)]);
     assert!(refused(&stage.arrive(REPEATABLE).1), "answered, whatever it is");
 }
 
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -116,7 +116,7 @@
 /// an answer or a close.
 fn newcomer(address: SocketAddr) -> Option<u16> {
     let began = Instant::now();
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     client.send("fetch", 2_500);
     let status = client.read().map(|answer| answer.status());
     assert!(began.elapsed() < OWED, "a newcomer waited {:?} for {status:?}", began.elapsed());
@@ -130,7 +130,7 @@
 }
 
 fn modes() -> [String; 2] {
-    ["automatic", "subscribe"].map(|mode| SETTINGS.replace("automatic", mode))
+    ["automatic", "subscribe"].map(|mode| SETTINGS_JSON.replace("automatic", mode))
 }
 
 /// Waits for the server that only discovery knows, with newcomers whom others crowd.
@@ -145,12 +145,12 @@
 /// from the start, after it went down, and at a new address.
 fn discovery_is_heard(sockets: usize, real: usize) {
     for settings in modes() {
-        let [a, b, c, d] = [0; 4].map(|_| Upstream::new(|_| Deed::ok("served")));
-        let agent = Agent::down(list(6, true, &[entry("b", b.address, "ready")]));
-        let text = |address, known: &str| config("127.0.0.1:0", address, known, sockets, &settings);
-        let first = text(agent.address, &ready(&[&a]));
-        let mut sidecar = Sidecar::start_with(&first, Some(real as u32));
-        sidecar.wait_up();
+        let [a, b, c, d] = [0; 4].map(|_| Upstream::new(|_| Behaviour::ok("served")));
+        let agent = Agent::down(host_list(6, true, &[host_entry("b", b.address, "ready")]));
+        let text = |address, known: &str| config_json("127.0.0.1:0", address, known, sockets, &settings);
+        let first = text(agent.address, &ready_hosts(&[&a]));
+        let mut sidecar = Sidecar::start_with_descriptor_limit(&first, Some(real as u32));
+        sidecar.wait_until_up();
         let idlers = Idlers::new(sidecar.address, 2 * real);
         // Long enough for as many calls to hang as may.
         std::thread::sleep(Duration::from_millis(4_500));
@@ -160,12 +160,12 @@
         serves_in_time(&sidecar, &b, Instant::now() + TOLD);
         agent.fails();
         std::thread::sleep(Duration::from_millis(2_000));
-        let next = Agent::down(list(7, true, &[entry("c", c.address, "ready")]));
+        let next = Agent::down(host_list(7, true, &[host_entry("c", c.address, "ready")]));
         sidecar.reload(&text(next.address, "null"));
         std::thread::sleep(Duration::from_millis(2_000));
         next.returns();
         serves_in_time(&sidecar, &c, Instant::now() + TOLD);
-        let last = Agent::down(list(8, true, &[entry("d", d.address, "ready")]));
+        let last = Agent::down(host_list(8, true, &[host_entry("d", d.address, "ready")]));
         last.returns();
         sidecar.reload(&text(last.address, "null"));
         serves_in_time(&sidecar, &d, Instant::now() + TOLD);
@@ -193,21 +193,22 @@
 fn most_held(sockets: usize, settings: &str) -> usize {
     // More servers than there may be connections to them: an idle one to each takes all that there may be.
     let deed = |message: &Message| {
-        if message.line.starts_with("POST") { Deed::Silence } else { Deed::ok("served") }
+        if message.start_line.starts_with("POST") { Behaviour::NoResponse } else { Behaviour::ok("served") }
     };
     let servers: Vec<Upstream> = (0..sockets / 2).map(|_| Upstream::new(deed)).collect();
-    let entry = |(number, server): (usize, &Upstream)| entry(&format!("s{number}"), server.address, "ready");
-    let known = list(5, true, &servers.iter().enumerate().map(entry).collect::<Vec<_>>());
+    let entry =
+        |(number, server): (usize, &Upstream)| host_entry(&format!("s{number}"), server.address, "ready");
+    let known = host_list(5, true, &servers.iter().enumerate().map(entry).collect::<Vec<_>>());
     let agent = Agent::down(String::new());
     // Without a real limit: more than it may hold must show.
-    let mut sidecar = Sidecar::start(&config("127.0.0.1:0", agent.address, &known, sockets, settings));
-    sidecar.wait_up();
-    let mut client = Client::to(sidecar.address);
+    let mut sidecar = Sidecar::start(&config_json("127.0.0.1:0", agent.address, &known, sockets, settings));
+    sidecar.wait_until_up();
+    let mut client = Client::connect(sidecar.address);
     let warm = Instant::now();
-    while held(&sidecar) < sockets / 2 && warm.elapsed() < FOREVER {
+    while held(&sidecar) < sockets / 2 && warm.elapsed() < WAIT_TIMEOUT {
         client.send("fetch", 4_000);
         if client.read().is_none() {
-            client = Client::to(sidecar.address);
+            client = Client::connect(sidecar.address);
         }
     }
     let address = sidecar.address;
@@ -240,7 +241,7 @@
     let before = watch(Duration::from_millis(6_000));
     // A new address, with the calls to the old one hanging.
     let next = Agent::down(String::new());
-    sidecar.reload(&config("127.0.0.1:0", next.address, "null", sockets, settings));
+    sidecar.reload(&config_json("127.0.0.1:0", next.address, "null", sockets, settings));
     let after = watch(Duration::from_millis(1_500));
     stop.store(true, Ordering::SeqCst);
     drop(idlers);
@@ -275,26 +276,26 @@
 fn no_server_is_blamed_for_a_lack_of_descriptors() {
     let slow = |_: &Message| {
         std::thread::sleep(Duration::from_millis(200));
-        Deed::ok("served")
+        Behaviour::ok("served")
     };
     let servers: Vec<Upstream> = (0..6).map(|_| Upstream::new(slow)).collect();
-    let known = ready(&servers.iter().collect::<Vec<_>>());
+    let known = ready_hosts(&servers.iter().collect::<Vec<_>>());
     let discovery = Discovery::new(&known);
     // Told that there are many, it finds that there are few.
-    let text = config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS);
-    let mut sidecar = Sidecar::start_with(&text, Some(64));
-    sidecar.wait_up();
+    let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON);
+    let mut sidecar = Sidecar::start_with_descriptor_limit(&text, Some(64));
+    sidecar.wait_until_up();
     let address = sidecar.address;
     let idlers = Idlers::new(address, 60);
     let clients: Vec<_> = (0..60)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 (0..5)
                     .filter(|_| {
                         client.send("bill", 6_000);
                         let status = client.read().map(|answer| answer.status());
-                        client = Client::to(address);
+                        client = Client::connect(address);
                         status == Some(200)
                     })
                     .count()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,13 +15,13 @@
     (1..=count).map(|id| Listing { zone: ZoneId(id % 3), spot: spot(id), ..listing(id) }).collect()
 }
 
-fn sidecar(rank: u32, sidecars: u32, count: u64) -> Stage {
+fn sidecar(rank: u32, sidecars: u32, count: u64) -> BalancerHarness {
     let settings = Settings { sidecars, rank: Some(rank), ..settings() };
-    Stage::seeded(settings, servers(count), u64::from(rank))
+    BalancerHarness::with_seed(settings, servers(count), u64::from(rank))
 }
 
 /// The servers that a sidecar sends to when it gets a request every so often; those in `failing` only err.
-fn sent(stage: &mut Stage, requests: usize, gap: Millis, failing: &[u64]) -> BTreeMap<u64, usize> {
+fn sent(stage: &mut BalancerHarness, requests: usize, gap: Millis, failing: &[u64]) -> BTreeMap<u64, usize> {
     let mut sends = BTreeMap::new();
     for _ in 0..requests {
         stage.now += gap;
@@ -53,7 +53,8 @@
 fn a_small_fleet_and_a_busy_sidecar_draw_over_all() {
     assert_eq!(sent(&mut sidecar(1, 4, 14), 400, 70.0, &[]).len(), 14);
     assert_eq!(sent(&mut sidecar(1, 100, SERVERS), 4_000, 10.0, &[]).len() as u64, SERVERS);
-    let mut untold = Stage::new(Settings { sidecars: 100, rank: None, ..settings() }, servers(SERVERS));
+    let mut untold =
+        BalancerHarness::new(Settings { sidecars: 100, rank: None, ..settings() }, servers(SERVERS));
     assert_eq!(sent(&mut untold, 2_000, 70.0, &[]).len() as u64, SERVERS, "its number is not known");
 }
 
@@ -67,7 +68,7 @@
     let after = sent(&mut stage, 200, 70.0, failing);
     assert!(healthy(&after) >= 12, "{before:?}, then {after:?}");
     let leaving = |id: &u64| Listing { lifecycle: Lifecycle::Leaving, ..listing(*id) };
-    stage.event(Event::Listed(ListNews::Changed(before.iter().map(leaving).collect())));
+    stage.handle_event(Event::Listed(ListNews::Changed(before.iter().map(leaving).collect())));
     let renewed: BTreeSet<u64> = sent(&mut stage, 400, 70.0, &[]).into_keys().collect();
     assert!(renewed.len() >= 12 && before.iter().all(|id| !renewed.contains(id)), "{renewed:?}");
 }
@@ -78,7 +79,7 @@
 fn probes_stay_within_what_their_price_allows() {
     let asked = |probe_fee: f64, reports_in_answers: bool| {
         let settings = Settings { sidecars: 100, rank: Some(3), probe_fee, reports_in_answers, ..settings() };
-        let mut stage = Stage::new(settings, servers(SERVERS));
+        let mut stage = BalancerHarness::new(settings, servers(SERVERS));
         let mut probes = 0;
         for _ in 0..500 {
             stage.now += 70.0;
@@ -101,7 +102,7 @@
 fn cold_servers_do_not_get_requests_refused_that_others_have_room_for() {
     let settings = Settings { probe_fee: 0.08, ..settings() };
     let cold = |entry: Listing| Listing { started: (entry.upstream.0 > 4).then_some(1_000.0), ..entry };
-    let mut stage = Stage::new(settings, servers(16).into_iter().map(cold).collect());
+    let mut stage = BalancerHarness::new(settings, servers(16).into_iter().map(cold).collect());
     let (mut to_cold, mut sends) = (0, 0);
     for _ in 0..600 {
         stage.now += 10.0;
@@ -118,10 +119,10 @@
 /// few that it refused on idle servers for half a minute after a release.
 #[test]
 fn room_comes_back_as_time_passes_however_few_the_answers() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 6.0, 0.75);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 6.0, 0.75);
     // Two requests for each that can be in work: an answer takes twice the service time, well within the aim.
-    let crowded = |stage: &mut Stage| stage.settle(&[1, 2], 15.0, 1.0);
+    let crowded = |stage: &mut BalancerHarness| stage.report_steady_load(&[1, 2], 15.0, 1.0);
     crowded(&mut stage);
     let (_, actions) = stage.arrive(ONCE);
     assert!(sent_to(&actions).is_some(), "there is room for that");
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -6,7 +6,7 @@
 use sagemast::api::*;
 
 /// Answers every send at once: server 1 fails as `bad` says, the others serve in 30 ms.
-fn play(stage: &mut Stage, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
+fn play(stage: &mut BalancerHarness, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
     let mut to_bad = 0;
     for _ in 0..rounds {
         stage.now += 10.0;
@@ -27,7 +27,7 @@
 #[test]
 fn a_fast_failer_is_ejected() {
     for bad in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
-        let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+        let mut stage = BalancerHarness::new(settings(), (1..=5).map(listing).collect());
         play(&mut stage, 50, bad, false);
         let later = play(&mut stage, 500, bad, false);
         assert!(later < 10, "{bad:?}: {later} of 500 still went to the failing server");
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_ejected_server_comes_back_by_trials() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 100, Outcome::Error, false);
     let back = play(&mut stage, 2_000, Outcome::Ok, false);
     assert!(back > 100, "{back} of 2,000 after it had recovered");
@@ -45,7 +45,7 @@
 /// Guards against servers that fail a third of what they get, and soon: too seldom to be ejected, they look idle.
 #[test]
 fn a_server_that_fails_more_than_its_peers_gets_less() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=5).map(listing).collect());
     let (mut to_bad, mut failures) = (0, 0);
     for _ in 0..1_000 {
         stage.now += 10.0;
@@ -62,8 +62,8 @@
 /// Guards against an ejection that ends as it begins: what a server still answers of before is no trial.
 #[test]
 fn an_answer_to_an_earlier_send_brings_no_server_back() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4, 5], 2.0, 0.1);
+    let mut stage = BalancerHarness::new(settings(), (1..=5).map(listing).collect());
+    stage.report_steady_load(&[1, 2, 3, 4, 5], 2.0, 0.1);
     let mut early = Vec::new();
     for _ in 0..60 {
         let (request, actions) = stage.arrive(ONCE);
@@ -87,7 +87,7 @@
 /// Guards against ejecting everyone when the network or we ourselves are at fault.
 #[test]
 fn not_all_are_ejected() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 200, Outcome::Error, true);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
@@ -102,7 +102,7 @@
 /// Guards against hung servers: nothing comes back from them, not even a failure, until the time-outs.
 #[test]
 fn unanswered_sends_count_before_they_time_out() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
     let mut hung = 0;
     for round in 0..200 {
         stage.now += 5.0;
@@ -126,7 +126,7 @@
 /// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
 #[test]
 fn full_is_not_a_failure() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
         stage.report(2, 3.0, 0.5);
@@ -145,7 +145,7 @@
 
 #[test]
 fn work_is_refused_when_no_server_can_answer_in_time() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for id in [1, 2] {
         stage.report(id, 1.0, 0.5);
         stage.report(id, 60.0, 1.0);
@@ -157,7 +157,7 @@
 /// Guards against a lock-out: a service time learnt in a jam must not refuse everything on idle servers for good.
 #[test]
 fn an_idle_server_has_room_whatever_was_learnt() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..300 {
         stage.now += 400.0;
         let (request, actions) = stage.arrive(REPEATABLE);
@@ -180,12 +180,12 @@
 fn the_least_worth_is_refused_first() {
     let mut settings = settings();
     settings.classes[REPEATABLE.0].worth = 0.2;
-    settings.classes[BY_ALL.0].worth = 4.0;
+    settings.classes[KEYED_FLEET_WIDE.0].worth = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     settings.over_quota_worth = 0.05;
     let mut refusals = std::collections::BTreeMap::new();
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 4.0, 1.0);
+    let mut stage = BalancerHarness::new(settings, vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 4.0, 1.0);
     for number in 0..2_000_u64 {
         stage.now += 5.0;
         // The load swings around 17 on servers that work on 4 at once.
@@ -193,15 +193,17 @@
         for id in [1, 2] {
             stage.report(id, in_flight, 1.0);
         }
-        let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
+        let (class, tenant) =
+            ([REPEATABLE, KEYED_FLEET_WIDE][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
-        let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, cost: None });
+        let actions =
+            stage.handle_event(Event::Arrived { request, class, tenant, time_left: 500.0, cost: None });
         let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
         if let Some(to) = sent_to(&actions) {
-            stage.event(Event::Abandoned(request));
+            stage.handle_event(Event::Abandoned(request));
             stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
@@ -209,18 +211,18 @@
         let (refused, all): (u32, u32) = refusals[&(class, TenantId(tenant))];
         f64::from(refused) / f64::from(all)
     };
-    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {refusals:?}");
-    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {refusals:?}");
+    assert!(rate(REPEATABLE, 0) > rate(KEYED_FLEET_WIDE, 0) + 0.1, "by worth: {refusals:?}");
+    assert!(rate(KEYED_FLEET_WIDE, 0) > rate(KEYED_FLEET_WIDE, 1) + 0.1, "by share: {refusals:?}");
 }
 
 /// Guards against feeding a jam: when all servers have become slow, one that a sidecar has not heard of for a
 /// while must be taken for slow, too, and not for quick.
 #[test]
 fn a_slowed_fleet_is_not_forgotten_server_by_server() {
-    let mut stage = Stage::new(settings(), (1..=20).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=20).map(listing).collect());
     let ids: Vec<u64> = (1..=20).collect();
-    stage.settle(&ids, 3.0, 0.75);
-    let play = |stage: &mut Stage, rounds: usize, took: Millis| {
+    stage.report_steady_load(&ids, 3.0, 0.75);
+    let play = |stage: &mut BalancerHarness, rounds: usize, took: Millis| {
         let mut refusals = 0;
         for _ in 0..rounds {
             stage.now += 100.0;
@@ -246,8 +248,8 @@
     settings.classes[REPEATABLE.0].aim = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
     let accepted = |late: bool| {
-        let mut stage = Stage::new(settings.clone(), ids.iter().copied().map(listing).collect());
-        stage.settle(&ids, 3.0, 0.75);
+        let mut stage = BalancerHarness::new(settings.clone(), ids.iter().copied().map(listing).collect());
+        stage.report_steady_load(&ids, 3.0, 0.75);
         let mut accepted = 0;
         for round in 0..600_u64 {
             stage.now += 50.0;
@@ -269,7 +271,7 @@
 /// Guards against advice that is kept too well: a client that stays away for longer than its aim comes back for nothing.
 #[test]
 fn a_refused_client_is_asked_back_within_its_aim() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = BalancerHarness::new(settings(), vec![]);
     let waits: Vec<Millis> = (0..200)
         .flat_map(|_| stage.arrive(REPEATABLE).1)
         .filter_map(|action| match action {
@@ -289,14 +291,14 @@
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
     settings.safety.warm_up = 100_000.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = BalancerHarness::new(settings, vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
             started = stage.now;
             let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            stage.handle_event(Event::Listed(ListNews::Changed(vec![entry])));
         }
         stage.now += 100.0;
         stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
@@ -319,12 +321,13 @@
 /// would bear all refusals for as long as servers are busy.
 #[test]
 fn refusals_are_spread_over_the_classes() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 0.8, 0.1);
     let mut served = [0, 0];
     for round in 0..600 {
         let busy = round >= 200;
-        let (number, class, service) = if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
+        let (number, class, service) =
+            if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, KEYED_FLEET_WIDE, 64.0) };
         stage.now += 50.0;
         // Their size stays known, from the first reports: the utilisation is too low to tell anything.
         [1, 2].into_iter().for_each(|id| stage.report(id, if busy { 15.0 } else { 0.8 }, 0.05));
@@ -342,8 +345,8 @@
 /// request, so that nothing was sent, nothing was learnt, and everything was refused for good.
 #[test]
 fn an_empty_server_has_room_however_crowded_the_fleet_looks() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.5);
     for round in 0..200 {
         let latency = if round < 60 { 30.0 } else { 190.0 };
         stage.now += 50.0;
@@ -359,8 +362,8 @@
 /// empty ones once had no room, so that no answer could correct it.
 #[test]
 fn an_empty_server_has_room_while_nearly_all_is_refused() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.8);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.8);
     for _ in 0..20 {
         let (request, actions) = stage.arrive(ONCE);
         let Some(to) = sent_to(&actions) else { continue };
@@ -382,8 +385,8 @@
 fn crowded_servers_are_tried_again_once_that_news_is_old() {
     let ids: Vec<u64> = (1..=12).collect();
     for gap in [20.0, 50.0, 200.0] {
-        let mut stage = Stage::new(settings(), ids.iter().map(|id| listing(*id)).collect());
-        stage.settle(&ids, 4.0, 0.5);
+        let mut stage = BalancerHarness::new(settings(), ids.iter().map(|id| listing(*id)).collect());
+        stage.report_steady_load(&ids, 4.0, 0.5);
         ids.iter().for_each(|id| stage.report(*id, 60.0, 1.0));
         let (mut last, mut turned_away, end) = (stage.now, 0, stage.now + 20_000.0);
         while stage.now < end {
@@ -407,9 +410,9 @@
 /// a few of them together shut the whole fleet.
 #[test]
 fn one_time_out_does_not_take_a_servers_room() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     let ids = [1, 2];
-    stage.settle(&ids, 3.0, 0.75);
+    stage.report_steady_load(&ids, 3.0, 0.75);
     let mut timed_out = Vec::new();
     for _ in 0..40 {
         let (request, actions) = stage.arrive(ONCE);
@@ -434,8 +437,8 @@
 /// Guards against a hung server that looks idle: an old unanswered send counts against it before any time-out.
 #[test]
 fn silence_counts_as_slowness() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     for _ in 0..60 {
         let (request, actions) = stage.arrive(REPEATABLE);
         stage.now += 20.0;
@@ -456,7 +459,7 @@
 /// Guards against losing sight: servers that have no room are never drawn, and would stay full for us for good.
 #[test]
 fn servers_without_room_are_still_probed() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for id in [1, 2] {
         stage.report(id, 1.0, 0.5);
         stage.report(id, 60.0, 1.0);
@@ -474,8 +477,8 @@
 /// Guards against branding: a server that was slow once is tried again after a while.
 #[test]
 fn slowness_is_forgotten() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 1.0, 0.25);
     for _ in 0..200 {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).expect("there is room");
@@ -496,8 +499,8 @@
     let mut settings = settings();
     settings.limits.max_attempts = 1;
     let accepted_after = |outcome: Outcome| {
-        let mut stage = Stage::new(settings.clone(), vec![listing(1), listing(2)]);
-        stage.settle(&[1, 2], 3.0, 0.75);
+        let mut stage = BalancerHarness::new(settings.clone(), vec![listing(1), listing(2)]);
+        stage.report_steady_load(&[1, 2], 3.0, 0.75);
         let mut accepted = 0;
         for round in 0..60 {
             stage.now += 20.0;
@@ -520,8 +523,8 @@
 /// was sent 251 requests in 3.5 s and turned 247 of them away.
 #[test]
 fn a_server_that_turns_all_away_is_sent_little() {
-    let mut stage = Stage::new(settings(), (1..=6).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4, 5, 6], 2.0, 0.5);
+    let mut stage = BalancerHarness::new(settings(), (1..=6).map(listing).collect());
+    stage.report_steady_load(&[1, 2, 3, 4, 5, 6], 2.0, 0.5);
     let mut to_full = 0;
     for _ in 0..300 {
         stage.report(1, 0.0, 0.1);
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,4 +1,5 @@
-//! A small stage of real sockets: upstreams, discovery and clients that do as a test tells them.
+//! Test doubles on loopback sockets: upstreams, discovery and clients with scripted behaviour, and the sidecar under
+//! test as a child process.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -11,121 +12,122 @@
 
 use socket2::SockRef;
 
-/// Nothing here takes this long unless it never comes.
-pub const FOREVER: Duration = Duration::from_secs(30);
+/// Upper bound on every wait in these tests; reaching it fails the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls a condition and panics if it does not hold within [`WAIT_TIMEOUT`]. `what` names it in the panic message.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < FOREVER, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "condition not met within {WAIT_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message of HTTP/1.1 as it was read.
+/// An HTTP/1.1 request or response as received.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
-    /// The first line.
-    pub line: String,
+    /// The request line or status line.
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// For an upstream: which of its connections it came on.
+    /// On an upstream: index of the connection that carried the message.
     pub connection: usize,
-    /// For an upstream: its place among all that happened on this stage.
-    pub at: u64,
+    /// On an upstream: position in the order of events over all upstreams of the test process.
+    pub sequence: u64,
 }
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; `None` at the end of the connection or when it breaks.
+/// Reads one message. `None` if the connection ends or fails before the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
-    reader.read_line(&mut message.line).ok().filter(|read| *read > 0)?;
-    message.line = message.line.trim_end().to_owned();
+    reader.read_line(&mut message.start_line).ok().filter(|read| *read > 0)?;
+    message.start_line = message.start_line.trim_end().to_owned();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         message.headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let length = message.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    let length = message.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// What an upstream does with a request.
+/// How an upstream handles a request.
 #[derive(Clone)]
-pub enum Deed {
-    /// Answers: status, further header lines, body.
-    Answer(u16, &'static str, Vec<u8>),
-    /// Writes this and says no more, with the connection left open.
-    Raw(&'static [u8]),
-    /// Writes this and closes.
-    RawAndClose(&'static [u8]),
-    /// Says nothing until the other side closes.
-    Silence,
-    /// The same, and tells the test of the close.
-    SilenceUntil(mpsc::Sender<()>),
-    /// Closes without a word.
+pub enum Behaviour {
+    /// Sends a response: status, additional header lines (each with its CRLF), body.
+    Respond(u16, &'static str, Vec<u8>),
+    /// Writes these bytes and leaves the connection open.
+    WriteRaw(&'static [u8]),
+    /// Writes these bytes and closes the connection.
+    WriteRawAndClose(&'static [u8]),
+    /// Sends nothing and leaves the connection open.
+    NoResponse,
+    /// Sends nothing, and signals the channel when the peer closes the connection.
+    NoResponseNotifyClose(mpsc::Sender<()>),
+    /// Closes the connection without a response.
     Close,
-    /// Begins an answer and closes in the middle.
-    Torn,
-    /// Answers, and closes the connection a moment later without having said so.
-    AnswerAndClose,
-    /// Answers, and again this much later, whatever has come meanwhile; tells how much later it was.
-    AnswerTwice(Duration, mpsc::Sender<Duration>),
-    /// Answers once the test says so.
-    Wait(Arc<AtomicUsize>),
+    /// Closes the connection in the middle of a response body.
+    TruncateResponse,
+    /// Sends a response without `Connection: close` and closes the connection shortly after.
+    RespondAndClose,
+    /// Sends a response, and after the given delay a second, unsolicited one; reports the actual delay.
+    RespondTwice(Duration, mpsc::Sender<Duration>),
+    /// Sends a response once the counter is above zero.
+    RespondWhenReleased(Arc<AtomicUsize>),
 }
 
-impl Deed {
-    pub fn ok(body: &str) -> Deed {
-        Deed::Answer(200, "", body.as_bytes().to_vec())
+impl Behaviour {
+    pub fn ok(body: &str) -> Behaviour {
+        Behaviour::Respond(200, "", body.as_bytes().to_vec())
     }
 }
 
 #[derive(Default)]
 struct Log {
     requests: Mutex<Vec<Message>>,
+    /// Connections closed by the peer: index of the connection, sequence number of the close.
     closed: Mutex<Vec<(usize, u64)>>,
     connections: AtomicUsize,
 }
 
-/// The order of happenings over all upstreams of a test process.
-static CLOCK: AtomicU64 = AtomicU64::new(1);
+/// Orders requests and closes over all upstreams of the test process.
+static NEXT_SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
-/// An upstream on a port of its own.
+/// An upstream that listens on an ephemeral loopback port.
 pub struct Upstream {
     pub address: SocketAddr,
     log: Arc<Log>,
 }
 
 impl Upstream {
-    pub fn new(deed: impl Fn(&Message) -> Deed + Send + Sync + 'static) -> Upstream {
+    pub fn new(behaviour: impl Fn(&Message) -> Behaviour + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let log = Arc::new(Log::default());
-        let (deed, kept) = (Arc::new(deed), log.clone());
+        let (behaviour, server_log) = (Arc::new(behaviour), log.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (deed, log) = (deed.clone(), kept.clone());
-                std::thread::spawn(move || serve(stream, &*deed, &log));
+                let (behaviour, log) = (behaviour.clone(), server_log.clone());
+                std::thread::spawn(move || serve(stream, &*behaviour, &log));
             }
         });
         Upstream { address, log }
     }
 
-    /// The requests that came whole, probes apart.
+    /// The complete requests received so far, without load probes.
     pub fn requests(&self) -> Vec<Message> {
         self.log.requests.lock().unwrap().clone()
     }
@@ -134,147 +136,164 @@
         self.log.connections.load(Ordering::SeqCst)
     }
 
-    /// When a connection was closed from the other side.
-    pub fn closed(&self, connection: usize) -> Option<u64> {
-        self.log.closed.lock().unwrap().iter().find(|(c, _)| *c == connection).map(|(_, at)| *at)
+    /// Sequence number of the close of this connection by the peer; `None` while it is open.
+    pub fn close_sequence(&self, connection: usize) -> Option<u64> {
+        self.log
+            .closed
+            .lock()
+            .unwrap()
+            .iter()
+            .find(|(index, _)| *index == connection)
+            .map(|(_, sequence)| *sequence)
     }
 }
 
-fn serve(stream: TcpStream, deed: &dyn Fn(&Message) -> Deed, log: &Log) {
+fn serve(stream: TcpStream, behaviour: &dyn Fn(&Message) -> Behaviour, log: &Log) {
     let connection = log.connections.fetch_add(1, Ordering::SeqCst);
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
-    let answer = |status: u16, more: &str, body: &[u8]| {
-        let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{more}\r\n", body.len());
+    let response = |status: u16, more_headers: &str, body: &[u8]| {
+        let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{more_headers}\r\n", body.len());
         [head.as_bytes(), body].concat()
     };
     while let Some(mut message) = read_message(&mut reader) {
-        if message.line.starts_with("GET /metrics/load ") {
-            let _ = writer.write_all(&answer(200, "", b"TEXT inflight=0, eps=0, util=0.1"));
+        if message.start_line.starts_with("GET /metrics/load ") {
+            let _ = writer.write_all(&response(200, "", b"TEXT inflight=0, eps=0, util=0.1"));
             continue;
         }
         message.connection = connection;
-        message.at = CLOCK.fetch_add(1, Ordering::SeqCst);
-        let what = deed(&message);
+        message.sequence = NEXT_SEQUENCE.fetch_add(1, Ordering::SeqCst);
+        let action = behaviour(&message);
         log.requests.lock().unwrap().push(message);
-        match what {
-            Deed::Answer(status, more, body) => drop(writer.write_all(&answer(status, more, &body))),
-            Deed::Raw(bytes) => drop(writer.write_all(bytes)),
-            Deed::RawAndClose(bytes) => {
+        match action {
+            Behaviour::Respond(status, more_headers, body) => {
+                drop(writer.write_all(&response(status, more_headers, &body)))
+            }
+            Behaviour::WriteRaw(bytes) => drop(writer.write_all(bytes)),
+            Behaviour::WriteRawAndClose(bytes) => {
                 let _ = writer.write_all(bytes);
                 let _ = reader.get_ref().shutdown(Shutdown::Both);
                 break;
             }
-            Deed::Silence => {}
-            Deed::SilenceUntil(closed) => {
+            Behaviour::NoResponse => {}
+            Behaviour::NoResponseNotifyClose(close_sender) => {
                 let _ = read_message(&mut reader);
-                let _ = closed.send(());
+                let _ = close_sender.send(());
                 return;
             }
-            Deed::Close => return drop(reader.get_ref().shutdown(Shutdown::Both)),
-            Deed::Torn => {
+            Behaviour::Close => return drop(reader.get_ref().shutdown(Shutdown::Both)),
+            Behaviour::TruncateResponse => {
                 let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it");
                 return drop(reader.get_ref().shutdown(Shutdown::Both));
             }
-            Deed::AnswerAndClose => {
-                let _ = writer.write_all(&answer(200, "", b"last"));
+            Behaviour::RespondAndClose => {
+                let _ = writer.write_all(&response(200, "", b"last"));
                 std::thread::sleep(Duration::from_millis(20));
                 return drop(reader.get_ref().shutdown(Shutdown::Both));
             }
-            Deed::AnswerTwice(after, late) => {
-                let _ = writer.write_all(&answer(200, "", b"first"));
-                let began = Instant::now();
-                std::thread::sleep(after);
-                let _ = writer.write_all(&answer(200, "", b"again"));
-                let _ = late.send(began.elapsed());
+            Behaviour::RespondTwice(delay, delay_sender) => {
+                let _ = writer.write_all(&response(200, "", b"first"));
+                let start = Instant::now();
+                std::thread::sleep(delay);
+                let _ = writer.write_all(&response(200, "", b"again"));
+                let _ = delay_sender.send(start.elapsed());
             }
-            Deed::Wait(go) => {
-                until("the test lets go", || go.load(Ordering::SeqCst) > 0);
-                let _ = writer.write_all(&answer(200, "", b"late"));
+            Behaviour::RespondWhenReleased(released) => {
+                wait_until("the test releases the response", || released.load(Ordering::SeqCst) > 0);
+                let _ = writer.write_all(&response(200, "", b"late"));
             }
         }
     }
-    log.closed.lock().unwrap().push((connection, CLOCK.fetch_add(1, Ordering::SeqCst)));
+    log.closed.lock().unwrap().push((connection, NEXT_SEQUENCE.fetch_add(1, Ordering::SeqCst)));
 }
 
-/// Discovery: what it is given to say, it says on every watch.
+/// A discovery server. It serves one watch at a time and sends the chunks that the test queues.
 pub struct Discovery {
     pub address: SocketAddr,
-    lines: mpsc::Sender<Option<Vec<u8>>>,
+    /// Chunks to send on the watch; `None` closes it.
+    chunks: mpsc::Sender<Option<Vec<u8>>>,
     watches: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
-    /// Says this first on every watch.
-    pub fn new(first: &str) -> Discovery {
+    /// Starts a server that begins every watch with this list.
+    pub fn new(initial_list: &str) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (lines, said) = mpsc::channel::<Option<Vec<u8>>>();
+        let (chunks, queued_chunks) = mpsc::channel::<Option<Vec<u8>>>();
         let watches = Arc::new(Mutex::new(Vec::new()));
-        let (seen, first) = (watches.clone(), first.to_owned());
+        let (watch_log, initial_list) = (watches.clone(), initial_list.to_owned());
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let Some(request) = read_message(&mut reader) else { continue };
-                seen.lock().unwrap().push(request.line);
+                watch_log.lock().unwrap().push(request.start_line);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                let _ = chunk(&mut stream, format!("{first}\n").as_bytes());
+                let _ = write_chunk(&mut stream, format!("{initial_list}\n").as_bytes());
                 loop {
-                    match said.recv_timeout(Duration::from_millis(300)) {
-                        Ok(Some(bytes)) => drop(chunk(&mut stream, &bytes)),
-                        // The test breaks the watch.
+                    match queued_chunks.recv_timeout(Duration::from_millis(300)) {
+                        Ok(Some(bytes)) => drop(write_chunk(&mut stream, &bytes)),
+                        // The test closes the watch.
                         Ok(None) => break,
-                        Err(mpsc::RecvTimeoutError::Timeout) if chunk(&mut stream, b"\n").is_err() => break,
+                        Err(mpsc::RecvTimeoutError::Timeout) if write_chunk(&mut stream, b"\n").is_err() => {
+                            break;
+                        }
                         Err(mpsc::RecvTimeoutError::Timeout) => {}
                         Err(mpsc::RecvTimeoutError::Disconnected) => return,
                     }
                 }
             }
         });
-        Discovery { address, lines, watches }
+        Discovery { address, chunks, watches }
     }
 
-    pub fn say(&self, text: &str) {
-        self.lines.send(Some(text.as_bytes().to_vec())).unwrap();
+    /// Sends text as one chunk on the open watch, or on the next one if none is open.
+    pub fn send_chunk(&self, text: &str) {
+        self.chunks.send(Some(text.as_bytes().to_vec())).unwrap();
     }
 
-    pub fn break_off(&self) {
-        self.lines.send(None).unwrap();
+    /// Closes the open watch, or the next one if none is open.
+    pub fn close_watch(&self) {
+        self.chunks.send(None).unwrap();
     }
 
-    /// The first lines of the watches so far.
+    /// The request lines of all watches so far.
     pub fn watches(&self) -> Vec<String> {
         self.watches.lock().unwrap().clone()
     }
 }
 
-fn chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
+fn write_chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n", bytes.len()).as_bytes())?;
     stream.write_all(bytes)?;
     stream.write_all(b"\r\n")
 }
 
-pub fn entry(host: &str, dial: SocketAddr, health: &str) -> String {
+/// An entry of a host list in the JSON of discovery.
+pub fn host_entry(host: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"east","class":"std","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A list in discovery's form.
-pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
+/// A host list in the JSON of discovery: complete if `whole`, otherwise a change.
+pub fn host_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// A list of ready upstreams named a, b, c...
-pub fn ready(upstreams: &[&Upstream]) -> String {
-    let name = |number: usize| char::from(b'a' + number as u8).to_string();
-    let entries: Vec<String> =
-        upstreams.iter().enumerate().map(|(n, u)| entry(&name(n), u.address, "ready")).collect();
-    list(5, true, &entries)
+/// A complete host list of ready upstreams named a, b, c and so on.
+pub fn ready_hosts(upstreams: &[&Upstream]) -> String {
+    let name = |index: usize| char::from(b'a' + index as u8).to_string();
+    let entries: Vec<String> = upstreams
+        .iter()
+        .enumerate()
+        .map(|(index, upstream)| host_entry(&name(index), upstream.address, "ready"))
+        .collect();
+    host_list(5, true, &entries)
 }
 
-/// The settings, in the names of the wire. All servers share a cell.
-pub const SETTINGS: &str = r#"{"allowed":{"cancel":true,"connect_timeout":2000.0,"keepalive":60000.0,
+/// Default settings in wire format. All servers share a cell.
+pub const SETTINGS_JSON: &str = r#"{"allowed":{"cancel":true,"connect_timeout":2000.0,"keepalive":60000.0,
 "max_attempts":4,"max_retry_after":600.0,"may_duplicate":false,"multiplex":1,"probes":true,"retry_after":true},
 "azs":["east","west"],"classes":[
 {"aim":3000.0,"dedup_scope":"all","effect":"repeatable","hard_limit":8000.0,"importance":3.0,"name":"fetch"},
@@ -285,39 +304,45 @@
 "membership_mode":"automatic","peers_total":3,"period":5.0,"rank":0,
 "telemetry":{"columns":["inflight","eps","util"],"how":"pull"},"tenants":[],"weights":"rough","zone":0}"#;
 
-/// A configuration file; `known` is a list in discovery's form, or `null`.
-pub fn config(listen: &str, discovery: SocketAddr, known: &str, sockets: usize, settings: &str) -> String {
+/// Content of a configuration file. `known` is a host list in the JSON of discovery, or `null`.
+pub fn config_json(
+    listen: &str,
+    discovery: SocketAddr,
+    known: &str,
+    sockets: usize,
+    settings: &str,
+) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
     )
 }
 
-/// The real program.
+/// A running `sagemast` process. It is killed on drop.
 pub struct Sidecar {
     pub child: Child,
-    /// Its configuration file.
-    pub file: PathBuf,
+    pub config_path: PathBuf,
     pub address: SocketAddr,
+    /// The lines that it has written to standard error.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static NEXT_CONFIG_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// Starts the program on a configuration, with its standard error piped.
-pub fn spawn(config: &str) -> Child {
-    spawn_with(config, None).0
+/// Starts the program with this configuration and standard error piped.
+pub fn spawn_sidecar(config: &str) -> Child {
+    spawn_with_descriptor_limit(config, None).0
 }
 
-/// The same with a limit on its descriptors.
-fn spawn_with(config: &str, descriptors: Option<u32>) -> (Child, PathBuf) {
-    let number = FILES.fetch_add(1, Ordering::SeqCst);
+/// Like [`spawn_sidecar`], with a limit on open file descriptors; also returns the path of the configuration file.
+fn spawn_with_descriptor_limit(config: &str, descriptor_limit: Option<u32>) -> (Child, PathBuf) {
+    let number = NEXT_CONFIG_FILE.fetch_add(1, Ordering::SeqCst);
     let name = format!("sagemast-{}-{number}.json", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).unwrap();
-    let limit = descriptors.map_or(String::new(), |count| format!("ulimit -n {count} && "));
+    let ulimit = descriptor_limit.map_or(String::new(), |count| format!("ulimit -n {count} && "));
     let child = Command::new("sh")
-        .args(["-c", &format!("{limit}exec \"$0\""), env!("CARGO_BIN_EXE_sagemast")])
+        .args(["-c", &format!("{ulimit}exec \"$0\""), env!("CARGO_BIN_EXE_sagemast")])
         .env("ROUTER_CONFIG", &path)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
@@ -328,71 +353,77 @@
 }
 
 impl Sidecar {
-    /// Starts it and waits until it listens.
+    /// Starts the program and waits until it listens.
     pub fn start(config: &str) -> Sidecar {
-        Sidecar::start_with(config, None)
+        Sidecar::start_with_descriptor_limit(config, None)
     }
 
-    /// The same with a limit on its descriptors.
-    pub fn start_with(config: &str, descriptors: Option<u32>) -> Sidecar {
-        let (mut child, file) = spawn_with(config, descriptors);
-        let mut errors = BufReader::new(child.stderr.take().unwrap());
+    /// Like [`Sidecar::start`], with a limit on open file descriptors.
+    pub fn start_with_descriptor_limit(config: &str, descriptor_limit: Option<u32>) -> Sidecar {
+        let (mut child, config_path) = spawn_with_descriptor_limit(config, descriptor_limit);
+        let mut stderr = BufReader::new(child.stderr.take().unwrap());
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
+        let log_writer = log.clone();
         std::thread::spawn(move || {
             let mut line = String::new();
-            while errors.read_line(&mut line).is_ok_and(|read| read > 0) {
-                kept.lock().unwrap().push(std::mem::take(&mut line));
+            while stderr.read_line(&mut line).is_ok_and(|read| read > 0) {
+                log_writer.lock().unwrap().push(std::mem::take(&mut line));
             }
         });
         let mut address = None;
-        until("it listens", || {
+        wait_until("the sidecar listens", || {
             let log = log.lock().unwrap();
-            let said = log.iter().find_map(|line| line.split_once("listening on ").map(|(_, at)| at));
-            address = said.and_then(|at| at.trim().parse().ok());
+            let found =
+                log.iter().find_map(|line| line.split_once("listening on ").map(|(_, address)| address));
+            address = found.and_then(|text| text.trim().parse().ok());
             address.is_some()
         });
-        Sidecar { child, file, address: address.unwrap(), log }
+        Sidecar { child, config_path, address: address.unwrap(), log }
     }
 
-    /// Starts it with these upstreams and waits until it is up.
-    pub fn with(upstreams: &[&Upstream]) -> (Sidecar, Discovery) {
-        Sidecar::with_settings(upstreams, SETTINGS)
+    /// Starts a sidecar and a discovery server that lists these upstreams, and waits until the sidecar is up.
+    pub fn for_upstreams(upstreams: &[&Upstream]) -> (Sidecar, Discovery) {
+        Sidecar::for_upstreams_with_settings(upstreams, SETTINGS_JSON)
     }
 
-    pub fn with_settings(upstreams: &[&Upstream], settings: &str) -> (Sidecar, Discovery) {
-        let known = ready(upstreams);
+    /// Like [`Sidecar::for_upstreams`], with these settings.
+    pub fn for_upstreams_with_settings(upstreams: &[&Upstream], settings: &str) -> (Sidecar, Discovery) {
+        let known = ready_hosts(upstreams);
         let discovery = Discovery::new(&known);
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, settings));
-        sidecar.wait_up();
+        let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, settings));
+        sidecar.wait_until_up();
         (sidecar, discovery)
     }
 
-    /// Waits until its log holds this.
-    pub fn wait_log(&self, text: &str) {
-        until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
+    /// Waits until a log line contains this text.
+    pub fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
     }
 
-    /// Puts another configuration in the place of its file and tells it so.
+    /// Replaces the configuration file atomically and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        let beside = self.file.with_extension("new");
-        std::fs::write(&beside, config).unwrap();
-        std::fs::rename(&beside, &self.file).unwrap();
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, config).unwrap();
+        std::fs::rename(&new_path, &self.config_path).unwrap();
         self.signal("-HUP");
     }
 
-    pub fn wait_up(&self) {
-        until("it is up", || Client::to(self.address).get("/up").is_some_and(|got| got.status() == 200));
+    /// Waits until `/up` answers 200.
+    pub fn wait_until_up(&self) {
+        wait_until("the sidecar is up", || {
+            Client::connect(self.address).get("/up").is_some_and(|response| response.status() == 200)
+        });
     }
 
-    pub fn signal(&self, name: &str) {
-        let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+    /// Sends a signal, named as an option of `kill`, such as `-HUP`.
+    pub fn signal(&self, option: &str) {
+        let process_id = self.child.id().to_string();
+        assert!(Command::new("kill").args([option, &process_id]).status().unwrap().success());
     }
 
-    pub fn wait_exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("it ends", || {
+        wait_until("the sidecar exits", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -407,22 +438,22 @@
     }
 }
 
-/// A client with one connection.
+/// An HTTP client on a single connection.
 pub struct Client {
     pub reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn to(address: SocketAddr) -> Client {
+    pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(FOREVER)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream) }
     }
 
     pub fn write(&mut self, text: &[u8]) {
         match self.reader.get_mut().write_all(text) {
             Ok(()) => {}
-            // The other side has said no and closed: what it said is still to be read.
+            // The sidecar may reject a request early and close; its response is still to be read.
             Err(error) if matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => {}
             Err(error) => panic!("{error}"),
         }
@@ -432,7 +463,7 @@
         read_message(&mut self.reader)
     }
 
-    /// Reads on until the other side closes; what came before that. `None` if it does not close.
+    /// Reads until the peer closes or resets the connection and returns the bytes received. `None` on a timeout.
     pub fn read_to_close(&mut self) -> Option<Vec<u8>> {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
@@ -447,22 +478,23 @@
         self.read()
     }
 
-    /// Sends a whole request of a class.
+    /// Sends a complete request of a class.
     pub fn send(&mut self, class: &str, timeout_ms: u64) {
-        self.write(request(class, timeout_ms).as_bytes());
+        self.write(http_request(class, timeout_ms).as_bytes());
     }
 
-    pub fn ask(&mut self, class: &str) -> Message {
+    /// Sends a request of a class and reads its response.
+    pub fn exchange(&mut self, class: &str) -> Message {
         self.send(class, 6_000);
-        self.read().expect("a whole answer")
+        self.read().expect("a complete response")
     }
 }
 
-static IDS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A request as the application sends it.
-pub fn request(class: &str, timeout_ms: u64) -> String {
-    let id = IDS.fetch_add(1, Ordering::SeqCst);
+/// The text of a complete request of class `fetch`, `log` or `bill`.
+pub fn http_request(class: &str, timeout_ms: u64) -> String {
+    let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst);
     let (method, key, body) = match class {
         "fetch" => ("GET", "", ""),
         "log" => ("POST", "Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", "entry"),
@@ -475,61 +507,65 @@
     )
 }
 
-/// How a client goes while its request is open.
+/// How a client disconnects while its request is in flight.
 #[derive(Debug, Clone, Copy)]
-pub enum Leaving {
-    Closes,
-    HalfCloses,
-    Resets,
-}
-
-/// All ways to go, each with nothing behind the request and with further bytes behind it: part of another request,
-/// a whole one, and more than is kept of it.
-pub fn ways_to_leave() -> Vec<(Leaving, String)> {
-    let behind = [String::new(), "GET /fetch?k".to_owned(), request("fetch", 60_000), "x".repeat(100_000)];
-    let ways = [Leaving::Closes, Leaving::HalfCloses, Leaving::Resets];
-    ways.into_iter().flat_map(|way| behind.clone().map(|bytes| (way, bytes))).collect()
-}
-
-/// Writes further bytes and goes. What is given back keeps a half-closed connection open.
-pub fn leave(mut client: Client, way: Leaving, behind: &str) -> Option<Client> {
-    client.write(behind.as_bytes());
-    // The sidecar has read them before the end comes: only then can they hide it.
+pub enum Disconnect {
+    Close,
+    /// Shuts down the write side only.
+    HalfClose,
+    /// Closes with a TCP reset.
+    Reset,
+}
+
+/// Every kind of disconnect, each with the bytes to write before it: none, part of a pipelined request, a complete
+/// one, and more than the sidecar buffers.
+pub fn disconnect_cases() -> Vec<(Disconnect, String)> {
+    let pipelined =
+        [String::new(), "GET /fetch?k".to_owned(), http_request("fetch", 60_000), "x".repeat(100_000)];
+    let kinds = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
+    kinds.into_iter().flat_map(|how| pipelined.clone().map(|bytes| (how, bytes))).collect()
+}
+
+/// Writes pipelined bytes, gives the sidecar time to read them, and disconnects. Returns the client if it is only
+/// half-closed, so that the connection stays open.
+pub fn disconnect_after_write(mut client: Client, how: Disconnect, pipelined: &str) -> Option<Client> {
+    client.write(pipelined.as_bytes());
+    // Bytes that the sidecar has buffered must not hide the disconnect from it.
     std::thread::sleep(Duration::from_millis(50));
-    depart(client, way, &[])
+    disconnect(client, how, &[])
 }
 
-/// The same in one moment.
-pub fn depart(mut client: Client, way: Leaving, behind: &[u8]) -> Option<Client> {
-    client.write(behind);
-    match way {
-        Leaving::Closes => None,
-        Leaving::HalfCloses => {
+/// Like [`disconnect_after_write`], without a pause between the bytes and the disconnect.
+pub fn disconnect(mut client: Client, how: Disconnect, pipelined: &[u8]) -> Option<Client> {
+    client.write(pipelined);
+    match how {
+        Disconnect::Close => None,
+        Disconnect::HalfClose => {
             let _ = client.reader.get_ref().shutdown(Shutdown::Write);
             Some(client)
         }
-        Leaving::Resets => {
+        Disconnect::Reset => {
             SockRef::from(client.reader.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
             None
         }
     }
 }
 
-/// The requests of a class that reached an upstream.
-pub fn of_class(upstream: &Upstream, class: &str) -> usize {
+/// The number of requests of a class that an upstream has received.
+pub fn count_requests_of_class(upstream: &Upstream, class: &str) -> usize {
     let path = format!("/{class}?");
-    upstream.requests().iter().filter(|request| request.line.contains(&path)).count()
+    upstream.requests().iter().filter(|request| request.start_line.contains(&path)).count()
 }
 
-/// An upstream that connections to do not come up: its accept queue is full until this is told to accept.
-pub struct Late {
+/// A listener with a full accept queue: connecting to it hangs until [`FullAcceptQueue::start_accepting`].
+pub struct FullAcceptQueue {
     pub listener: TcpListener,
-    /// What fills the queue.
+    /// The connections that fill the queue.
     pub queue: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn new() -> Late {
+impl FullAcceptQueue {
+    pub fn new() -> FullAcceptQueue {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -538,35 +574,35 @@
         });
         listener.set_nonblocking(false).unwrap();
         let address = listener.local_addr().unwrap();
-        Late { listener, queue: [0, 1].map(|_| TcpStream::connect(address).unwrap()).into() }
+        FullAcceptQueue { listener, queue: [0, 1].map(|_| TcpStream::connect(address).unwrap()).into() }
     }
 
-    /// From now on connections come up and all is served; counts the requests of a class.
-    pub fn accept(self, class: &'static str) -> Arc<AtomicUsize> {
-        let written = Arc::new(AtomicUsize::new(0));
-        let seen = written.clone();
+    /// Accepts connections and answers every request; returns a counter of the requests of a class.
+    pub fn start_accepting(self, class: &'static str) -> Arc<AtomicUsize> {
+        let request_count = Arc::new(AtomicUsize::new(0));
+        let counter = request_count.clone();
         drop(self.queue);
         std::thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
-                let seen = seen.clone();
+                let counter = counter.clone();
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(stream);
                     while let Some(message) = read_message(&mut reader) {
-                        if message.line.contains(&format!("/{class}?")) {
-                            seen.fetch_add(1, Ordering::SeqCst);
+                        if message.start_line.contains(&format!("/{class}?")) {
+                            counter.fetch_add(1, Ordering::SeqCst);
                         }
                         let _ = reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                     }
                 });
             }
         });
-        written
+        request_count
     }
 }
 
-/// Settings under which connecting and waiting for an answer take as long as a test wants.
-pub fn patient() -> String {
-    SETTINGS
+/// Default settings with a connect timeout of 25 s and an aim of 60 s, which do not expire during a test.
+pub fn long_timeout_settings_json() -> String {
+    SETTINGS_JSON
         .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":25000.0"#)
         .replace(r#""aim":3000.0"#, r#""aim":60000.0"#)
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -10,8 +10,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Stage, listing};
-use loopback::{FOREVER, SETTINGS, Sidecar, Upstream, config, entry, list, read_message, ready, until};
+use common::{BalancerHarness, listing};
+use loopback::{
+    SETTINGS_JSON, Sidecar, Upstream, WAIT_TIMEOUT, config_json, host_entry, host_list, read_message,
+    ready_hosts, wait_until,
+};
 use sagemast::api::*;
 
 /// A change counts as told so long after discovery had it and could be reached.
@@ -20,24 +23,24 @@
 const CALL: Millis = 2_500.0;
 
 /// A module that asks, with this seed, after it was told a list once.
-fn asking(must_ask_in: Millis, seed: u64) -> Stage {
+fn asking(must_ask_in: Millis, seed: u64) -> BalancerHarness {
     let settings = Settings { discovery: Discovery::Subscribed { must_ask_in }, ..common::settings() };
-    let mut stage = Stage::seeded(settings, vec![listing(1)], seed);
-    stage.event(Event::Woke(0));
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(1)])));
+    let mut stage = BalancerHarness::with_seed(settings, vec![listing(1)], seed);
+    stage.handle_event(Event::Woke(0));
+    stage.handle_event(Event::Listed(ListNews::Complete(vec![listing(1)])));
     stage
 }
 
 /// A call has failed: how long the module waits before the next.
-fn wait(stage: &mut Stage) -> Millis {
-    let actions = stage.event(Event::Listed(ListNews::Unavailable));
+fn wait(stage: &mut BalancerHarness) -> Millis {
+    let actions = stage.handle_event(Event::Listed(ListNews::Unavailable));
     let at = actions.iter().find_map(|action| match action {
         Action::WakeAt { at, token: 0 } => Some(*at),
         _ => None,
     });
     let waited = at.expect("it asks again") - stage.now;
     stage.now += waited;
-    assert!(stage.event(Event::Woke(0)).contains(&Action::Subscribe));
+    assert!(stage.handle_event(Event::Woke(0)).contains(&Action::Subscribe));
     waited
 }
 
@@ -159,15 +162,15 @@
 
 #[test]
 fn a_change_is_in_force_in_time_whatever_discovery_did_before() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Deed::ok("served")));
-    let news = list(9, true, &[entry("b", b.address, "ready")]);
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let news = host_list(9, true, &[host_entry("b", b.address, "ready")]);
     let asked = |must_ask_in: &str| {
-        SETTINGS
+        SETTINGS_JSON
             .replace("automatic", "subscribe")
             .replace(r#""must_ask_in":400.0"#, &format!(r#""must_ask_in":{must_ask_in}"#))
             .replace(r#""drain_grace":2000.0"#, r#""drain_grace":5000.0"#)
     };
-    let modes = [SETTINGS.to_owned(), asked("400.0"), asked("10000.0"), asked("60000.0")];
+    let modes = [SETTINGS_JSON.to_owned(), asked("400.0"), asked("10000.0"), asked("60000.0")];
     let needs = [Need::Hangs, Need::Refuses, Need::Closes, Need::BeginsOnly];
     let cases: Vec<(&str, Need, Recovering)> = modes
         .iter()
@@ -178,11 +181,11 @@
         .iter()
         .flat_map(|(mode, _, discovery)| (0..EACH).map(|n| (*mode, discovery.address, n)))
         .map(|(mode, address, number)| {
-            let text = config("127.0.0.1:0", address, &ready(&[&a]), 1024, mode);
+            let text = config_json("127.0.0.1:0", address, &ready_hosts(&[&a]), 1024, mode);
             Sidecar::start(&text.replace("8c1f30d27a5be964", &format!("{}7", number + 1)))
         })
         .collect();
-    sidecars.iter().for_each(Sidecar::wait_up);
+    sidecars.iter().for_each(Sidecar::wait_until_up);
     // Long enough for each to have failed some times.
     std::thread::sleep(Duration::from_millis(5_500));
     cases.iter().for_each(|(_, _, discovery)| discovery.serves.store(true, Ordering::SeqCst));
@@ -198,10 +201,10 @@
     }
     for sidecar in &sidecars {
         let before = b.requests().len();
-        let mut client = loopback::Client::to(sidecar.address);
-        until("it serves", || client.ask("fetch").status() == 200 && b.requests().len() > before);
+        let mut client = loopback::Client::connect(sidecar.address);
+        wait_until("it serves", || client.exchange("fetch").status() == 200 && b.requests().len() > before);
     }
-    assert!(began.elapsed() < FOREVER);
+    assert!(began.elapsed() < WAIT_TIMEOUT);
 }
 
 /// A discovery that takes calls and never answers; when they came.
@@ -223,10 +226,11 @@
 /// In step, all watches of a fleet that end in one moment come back in one, again and again.
 #[test]
 fn calls_to_a_discovery_that_hangs_keep_no_step() {
-    let upstream = Upstream::new(|_| loopback::Deed::ok("served"));
+    let upstream = Upstream::new(|_| loopback::Behaviour::ok("served"));
     let (address, calls) = hanging();
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &ready(&[&upstream]), 1024, SETTINGS));
-    until("it has called often", || calls.lock().unwrap().len() > 16);
+    let sidecar =
+        Sidecar::start(&config_json("127.0.0.1:0", address, &ready_hosts(&[&upstream]), 1024, SETTINGS_JSON));
+    wait_until("it has called often", || calls.lock().unwrap().len() > 16);
     drop(sidecar);
     let calls = calls.lock().unwrap().clone();
     let gaps: Vec<Duration> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
@@ -239,8 +243,8 @@
 /// answer than some of them has to be heard all the same.
 #[test]
 fn a_discovery_that_is_slower_than_the_pace_is_heard() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Deed::ok("served")));
-    let news = list(9, true, &[entry("b", b.address, "ready")]);
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let news = host_list(9, true, &[host_entry("b", b.address, "ready")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -252,11 +256,11 @@
             });
         }
     });
-    let settings = SETTINGS.replace(r#""drain_grace":2000.0"#, r#""drain_grace":100.0"#);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &ready(&[&a]), 1024, &settings));
+    let settings = SETTINGS_JSON.replace(r#""drain_grace":2000.0"#, r#""drain_grace":100.0"#);
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, &ready_hosts(&[&a]), 1024, &settings));
     let began = Instant::now();
-    let mut client = loopback::Client::to(sidecar.address);
-    until("it serves", || client.ask("fetch").status() == 200 && !b.requests().is_empty());
+    let mut client = loopback::Client::connect(sidecar.address);
+    wait_until("it serves", || client.exchange("fetch").status() == 200 && !b.requests().is_empty());
     assert!(began.elapsed() < Duration::from_millis(TOLD as u64), "{:?}", began.elapsed());
 }
 
@@ -264,21 +268,22 @@
 /// answer comes: another call in its place would be given up only after 2.5 s.
 #[test]
 fn what_the_module_asks_for_does_not_replace_the_call_after_sighup() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Deed::ok("served")));
-    let news = list(9, true, &[entry("b", b.address, "ready")]);
-    let settings = SETTINGS.replace("automatic", "subscribe");
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let news = host_list(9, true, &[host_entry("b", b.address, "ready")]);
+    let settings = SETTINGS_JSON.replace("automatic", "subscribe");
     let old = Recovering::new(Need::Refuses, news.clone());
     let new = Recovering::new(Need::Hangs, news);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", old.address, &ready(&[&a]), 1024, &settings));
-    sidecar.wait_up();
+    let sidecar =
+        Sidecar::start(&config_json("127.0.0.1:0", old.address, &ready_hosts(&[&a]), 1024, &settings));
+    sidecar.wait_until_up();
     std::thread::sleep(Duration::from_millis(1_000));
-    sidecar.reload(&config("127.0.0.1:0", new.address, "null", 1024, &settings));
+    sidecar.reload(&config_json("127.0.0.1:0", new.address, "null", 1024, &settings));
     // By then the module has asked again.
     std::thread::sleep(Duration::from_millis(900));
     new.serves.store(true, Ordering::SeqCst);
     let began = Instant::now();
-    until("it is told", || new.served.load(Ordering::SeqCst) > 0);
+    wait_until("it is told", || new.served.load(Ordering::SeqCst) > 0);
     assert!(began.elapsed() < Duration::from_millis(1_300), "{:?}", began.elapsed());
-    let mut client = loopback::Client::to(sidecar.address);
-    until("it serves", || client.ask("fetch").status() == 200 && !b.requests().is_empty());
+    let mut client = loopback::Client::connect(sidecar.address);
+    wait_until("it serves", || client.exchange("fetch").status() == 200 && !b.requests().is_empty());
 }
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -10,7 +10,7 @@
 
 /// Sends of `rounds` requests that all stay out for `hold` ms, with servers that report what they hold.
 fn shares(kappas: &[(u64, f64)], rounds: usize, hold: Millis) -> BTreeMap<u64, usize> {
-    let mut stage = Stage::new(settings(), kappas.iter().map(|(id, _)| listing(*id)).collect());
+    let mut stage = BalancerHarness::new(settings(), kappas.iter().map(|(id, _)| listing(*id)).collect());
     let mut out: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
     let mut held: BTreeMap<u64, usize> = BTreeMap::new();
     let mut sends: BTreeMap<u64, usize> = BTreeMap::new();
@@ -58,15 +58,15 @@
 /// utilisation would call it large and send it more.
 #[test]
 fn a_saturated_reading_does_not_raise_capacity() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 6.0, 0.75);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 6.0, 0.75);
     for _ in 0..10 {
         // κ is 8 for both; read as 24 / 1.0 it would be 24 for the first.
         stage.report(1, 24.0, 1.0);
         stage.report(2, 8.0, 1.0);
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
-        stage.event(Event::Abandoned(request));
+        stage.handle_event(Event::Abandoned(request));
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
     for _ in 0..10 {
@@ -83,7 +83,7 @@
 fn a_report_below_our_own_outstanding_is_not_believed() {
     let mut settings = settings();
     settings.classes[REPEATABLE.0].aim = 450.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings, vec![listing(1), listing(2)]);
     stage.report(1, 2.0, 1.0);
     stage.report(2, 2.0, 1.0);
     let mut out = BTreeMap::new();
@@ -102,7 +102,7 @@
 /// Guards against capacity that is mere parallelism: two servers hold as many, one works at half the pace.
 #[test]
 fn a_slower_server_gets_less() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+    let mut stage = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
     let mut sends = BTreeMap::new();
     let mut out: Vec<(Millis, RequestId, UpstreamId, Millis)> = Vec::new();
     for _ in 0..3_000 {
@@ -148,8 +148,8 @@
     let mut settings = settings();
     settings.crossing_fee = 0.1;
     let servers = (1..=6).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
-    let mut stage = Stage::new(settings, servers);
-    stage.settle(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
+    let mut stage = BalancerHarness::new(settings, servers);
+    stage.report_steady_load(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
     let mut far = 0;
     for round in 0..60 {
         let (_, actions) = stage.arrive(REPEATABLE);
@@ -165,7 +165,7 @@
 /// a high utilisation, and their ratio would call the server tiny.
 #[test]
 fn capacity_is_a_ratio_of_means() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
         stage.report(1, 6.0, 0.75);
@@ -185,8 +185,8 @@
 fn late_reports_are_not_followed() {
     let mut settings = settings();
     settings.classes[REPEATABLE.0].aim = 450.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2), listing(3)]);
-    stage.settle(&[1, 2, 3], 4.0, 0.9);
+    let mut stage = BalancerHarness::new(settings, vec![listing(1), listing(2), listing(3)]);
+    stage.report_steady_load(&[1, 2, 3], 4.0, 0.9);
     let mut sends = BTreeMap::new();
     for round in 0..400 {
         stage.now += 10.0;
@@ -213,7 +213,7 @@
 /// would call every server huge, and all sidecars would pile on.
 #[test]
 fn the_first_reports_do_not_tell_capacity() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     for id in [1, 2] {
         stage.report(id, 12.0, 0.12);
     }
@@ -228,10 +228,10 @@
     let kind_of = |id: u64| KindId(id % 2);
     let sends_to_unheard = |kind: KindId| {
         let servers = (1..=12).map(|id| Listing { kind: kind_of(id), ..listing(id) }).collect();
-        let mut stage = Stage::new(settings(), servers);
+        let mut stage = BalancerHarness::new(settings(), servers);
         // Of the servers heard from, the odd ones hold four times as much at the same utilisation.
-        stage.settle(&[1, 3], 4.0, 0.5);
-        stage.settle(&[2, 4], 1.0, 0.5);
+        stage.report_steady_load(&[1, 3], 4.0, 0.5);
+        stage.report_steady_load(&[2, 4], 1.0, 0.5);
         stage.now += 30_000.0;
         let mut sends = 0;
         for _ in 0..400 {
@@ -251,8 +251,8 @@
 /// aim. The request goes at once on what is known, and the probes are for later picks.
 #[test]
 fn a_request_goes_at_once_and_old_readings_are_renewed_for_later_picks() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 2.0, 0.5);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 2.0, 0.5);
     stage.now += 5_000.0;
     let (_, actions) = stage.arrive(REPEATABLE);
     assert!(sent_to(&actions).is_some(), "sent, whatever the age of the readings: {actions:?}");
@@ -269,8 +269,8 @@
 /// crowded server as empty does not make it the emptiest.
 #[test]
 fn one_low_reading_in_an_answer_does_not_empty_a_server() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 2.0, 0.25);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steady_load(&[1, 2], 2.0, 0.25);
     let on_the_first = loop {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).expect("there is room");
@@ -279,11 +279,11 @@
         }
         stage.finish(request, 0, to, Outcome::Ok, 20.0);
     };
-    stage.settle(&[2], 2.0, 0.25);
-    stage.settle(&[1], 6.0, 0.75);
-    stage.settle(&[2], 2.0, 0.25);
-    stage.settle(&[1], 6.0, 0.75);
-    stage.event(Event::Finished(Finished {
+    stage.report_steady_load(&[2], 2.0, 0.25);
+    stage.report_steady_load(&[1], 6.0, 0.75);
+    stage.report_steady_load(&[2], 2.0, 0.25);
+    stage.report_steady_load(&[1], 6.0, 0.75);
+    stage.handle_event(Event::Finished(Finished {
         request: on_the_first,
         attempt: AttemptNo(0),
         upstream: UpstreamId(1),
@@ -300,7 +300,7 @@
 /// costs them work and a connection. What answers tell needs no asking.
 #[test]
 fn servers_that_answers_tell_of_are_not_probed() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
     let report = Report { in_flight: Some(1.0), utilisation: Some(0.3), ..Report::default() };
     let mut probes = 0;
     for round in 0..200 {
@@ -309,7 +309,7 @@
         let to = sent_to(&actions).expect("there is room");
         let asked = actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         probes += if round < 20 { 0 } else { asked };
-        stage.event(Event::Finished(Finished {
+        stage.handle_event(Event::Finished(Finished {
             request,
             attempt: AttemptNo(0),
             upstream: to,
@@ -328,10 +328,10 @@
 #[test]
 fn little_time_is_no_reason_to_refuse_where_no_queue_stands() {
     let place = |in_flight: f64| {
-        let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-        stage.settle(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
+        let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+        stage.report_steady_load(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
-        stage.event(Event::Arrived { request, class: REPEATABLE, tenant, time_left: 40.0, cost: None })
+        stage.handle_event(Event::Arrived { request, class: REPEATABLE, tenant, time_left: 40.0, cost: None })
     };
     assert!(sent_to(&place(1.0)).is_some());
     assert!(refused(&place(3.0)), "behind a queue it would be late");
@@ -341,13 +341,13 @@
 /// in four of the largest lookups were timed out and sent again, to be timed out again.
 #[test]
 fn what_is_large_by_its_hint_gets_the_time_it_takes() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4], 1.0, 0.25);
+    let mut stage = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
+    stage.report_steady_load(&[1, 2, 3, 4], 1.0, 0.25);
     let mut timeout = |id: u64, cost: f64| {
         let request = RequestId(10_000 + id);
         let tenant = TenantId(0);
         let event = Event::Arrived { request, class: REPEATABLE, tenant, time_left: 500.0, cost: Some(cost) };
-        let actions = stage.event(event);
+        let actions = stage.handle_event(event);
         let sent = actions.iter().find_map(|action| match action {
             Action::Send { upstream, timeout, .. } => Some((*upstream, *timeout)),
             _ => None,
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -19,10 +19,10 @@
 /// Asks until it is up; how long it took since `began`.
 fn up_after(address: SocketAddr, began: Instant) -> Duration {
     loop {
-        if Client::to(address).get("/up").is_some_and(|got| got.status() == 200) {
+        if Client::connect(address).get("/up").is_some_and(|got| got.status() == 200) {
             return began.elapsed();
         }
-        assert!(began.elapsed() < FOREVER, "it is not up after {:?}", began.elapsed());
+        assert!(began.elapsed() < WAIT_TIMEOUT, "it is not up after {:?}", began.elapsed());
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -53,20 +53,20 @@
 }
 
 fn modes() -> [String; 2] {
-    ["automatic", "subscribe"].map(|mode| SETTINGS.replace("automatic", mode))
+    ["automatic", "subscribe"].map(|mode| SETTINGS_JSON.replace("automatic", mode))
 }
 
 #[test]
 fn with_a_known_list_it_is_up_at_once_though_discovery_is_down() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| Behaviour::ok("served"));
     for settings in modes() {
         for (how, address, _kept) in downs() {
             let began = Instant::now();
-            let text = config("127.0.0.1:0", address, &ready(&[&upstream]), 256, &settings);
+            let text = config_json("127.0.0.1:0", address, &ready_hosts(&[&upstream]), 256, &settings);
             let sidecar = Sidecar::start(&text);
             let took = up_after(sidecar.address, began);
             assert!(took < Duration::from_secs(2), "{how}: up after {took:?}");
-            assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200, "{how}");
+            assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200, "{how}");
         }
     }
 }
@@ -95,19 +95,19 @@
                 // One after another, each way for one in three.
                 let (how, address, _kept) = downs().into_iter().nth(number % 3).unwrap();
                 let began = Instant::now();
-                let sidecar = Sidecar::start(&config("127.0.0.1:0", address, known, 256, &settings));
-                let first = Client::to(sidecar.address).get("/up").map(|answer| answer.status());
+                let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, known, 256, &settings));
+                let first = Client::connect(sidecar.address).get("/up").map(|answer| answer.status());
                 let early = began.elapsed() < Duration::from_secs(2);
                 assert!(first == Some(503) || !early, "{known}, {how}: {first:?} at first");
                 let took = up_after(sidecar.address, began);
                 assert!(took < READY_ALONE, "{known}, {how}: up after {took:?}");
-                let mut client = Client::to(sidecar.address);
+                let mut client = Client::connect(sidecar.address);
                 for class in ["fetch", "bill"] {
-                    let answer = client.ask(class);
+                    let answer = client.exchange(class);
                     assert_eq!(answer.status(), 503, "{known}, {how}");
                     assert!(answer.header("retry-after").is_some(), "{known}, {how}");
                 }
-                sidecar.wait_log("no list of upstreams yet");
+                sidecar.wait_for_log("no list of upstreams yet");
                 let log = sidecar.log.lock().unwrap();
                 assert_eq!(log.iter().any(|line| line.contains("cannot be read")), told, "{known}: {log:?}");
             })
@@ -118,8 +118,8 @@
 
 #[test]
 fn a_broken_known_list_loses_nothing() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-    let sound = entry("a", a.address, "ready");
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
+    let sound = host_entry("a", a.address, "ready");
     let nobody = refusing();
     // What can be read of it is used.
     for known in [
@@ -128,26 +128,28 @@
         format!(r#"{{"seq":"x","whole":"y","hosts":[{sound}]}}"#),
         format!(r#"{{"hosts":[{sound},{{}}]}}"#),
     ] {
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", address_of(&nobody), &known, 256, SETTINGS));
-        sidecar.wait_up();
-        assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200, "{known}");
-        let discovery = Discovery::new(&list(41, true, std::slice::from_ref(&sound)));
-        sidecar.reload(&config("127.0.0.1:0", discovery.address, &known, 256, SETTINGS));
-        until("all there is is asked for", || discovery.watches().iter().any(|w| w.contains("from=0 ")));
+        let sidecar =
+            Sidecar::start(&config_json("127.0.0.1:0", address_of(&nobody), &known, 256, SETTINGS_JSON));
+        sidecar.wait_until_up();
+        assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200, "{known}");
+        let discovery = Discovery::new(&host_list(41, true, std::slice::from_ref(&sound)));
+        sidecar.reload(&config_json("127.0.0.1:0", discovery.address, &known, 256, SETTINGS_JSON));
+        wait_until("all there is is asked for", || discovery.watches().iter().any(|w| w.contains("from=0 ")));
     }
     // And discovery makes up for the rest: it is asked for all that there is.
     for (known, _) in USELESS.into_iter().skip(2) {
-        let discovery = Discovery::new(&list(41, true, &[entry("b", b.address, "ready")]));
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, known, 256, SETTINGS));
-        sidecar.wait_up();
-        assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200, "{known}");
+        let discovery = Discovery::new(&host_list(41, true, &[host_entry("b", b.address, "ready")]));
+        let sidecar =
+            Sidecar::start(&config_json("127.0.0.1:0", discovery.address, known, 256, SETTINGS_JSON));
+        sidecar.wait_until_up();
+        assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200, "{known}");
         assert!(discovery.watches()[0].contains("from=0 "), "{known}");
         // Nor does it keep a new configuration from being taken over.
-        let next = Discovery::new(&list(42, true, &[entry("a", a.address, "ready")]));
+        let next = Discovery::new(&host_list(42, true, &[host_entry("a", a.address, "ready")]));
         let before = a.requests().len();
-        sidecar.reload(&config("127.0.0.1:0", next.address, known, 256, SETTINGS));
-        until("the new discovery is heard", || {
-            Client::to(sidecar.address).ask("fetch").status() == 200 && a.requests().len() > before
+        sidecar.reload(&config_json("127.0.0.1:0", next.address, known, 256, SETTINGS_JSON));
+        wait_until("the new discovery is heard", || {
+            Client::connect(sidecar.address).exchange("fetch").status() == 200 && a.requests().len() > before
         });
     }
 }
@@ -195,7 +197,7 @@
             std::thread::spawn(move || {
                 start.wait();
                 let began = Instant::now();
-                let mut started = Started(spawn(&config));
+                let mut started = Started(spawn_sidecar(&config));
                 let mut errors = BufReader::new(started.0.stderr.take().unwrap());
                 let mut address = None;
                 while address.is_none() {
@@ -216,11 +218,12 @@
 
 #[test]
 fn of_300_that_start_at_once_nine_in_ten_are_ready_in_time() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let many: Vec<String> = (0..200).map(|n| entry(&format!("s{n}"), upstream.address, "ready")).collect();
-    let discovery = agent(list(41, true, &many));
+    let upstream = Upstream::new(|_| Behaviour::ok("served"));
+    let many: Vec<String> =
+        (0..200).map(|n| host_entry(&format!("s{n}"), upstream.address, "ready")).collect();
+    let discovery = agent(host_list(41, true, &many));
     // Without a list of its own each has to hear from discovery.
-    let times = start_at_once(300, &config("127.0.0.1:0", discovery, "null", 256, SETTINGS));
+    let times = start_at_once(300, &config_json("127.0.0.1:0", discovery, "null", 256, SETTINGS_JSON));
     let (median, ninth, last) = (times[149], times[269], times[299]);
     println!("300 at once: median {median:.2?}, nine in ten {ninth:.2?}, last {last:.2?}");
     assert!(ninth < READY, "nine in ten are ready after {ninth:?}");
@@ -229,7 +232,8 @@
 #[test]
 fn of_300_that_start_at_once_without_any_list_nine_in_ten_are_ready_in_time() {
     let nobody = refusing();
-    let times = start_at_once(300, &config("127.0.0.1:0", address_of(&nobody), "null", 256, SETTINGS));
+    let times =
+        start_at_once(300, &config_json("127.0.0.1:0", address_of(&nobody), "null", 256, SETTINGS_JSON));
     let (median, ninth, last) = (times[149], times[269], times[299]);
     println!("300 at once, no list: median {median:.2?}, nine in ten {ninth:.2?}, last {last:.2?}");
     assert!(ninth < READY, "nine in ten are ready after {ninth:?}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn no_server_is_answered_at_once() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = BalancerHarness::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = stage.arrive(ClassId(class));
         assert!(refused(&actions), "nothing ran, so it is refused");
@@ -21,24 +21,24 @@
 
 #[test]
 fn one_server_is_used() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1)]);
     let (_, actions) = stage.arrive(REPEATABLE);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)));
 }
 
 #[test]
 fn unknown_class_is_refused() {
-    let mut stage = Stage::new(settings(), cells());
+    let mut stage = BalancerHarness::new(settings(), cells());
     let (_, actions) = stage.arrive(ClassId(99));
     assert!(refused(&actions));
 }
 
 #[test]
 fn nothing_goes_out_for_an_ended_request() {
-    let mut stage = Stage::new(settings(), cells());
+    let mut stage = BalancerHarness::new(settings(), cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let to = sent_to(&actions).unwrap();
-    let actions = stage.event(Event::Abandoned(request));
+    let actions = stage.handle_event(Event::Abandoned(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
     let late = stage.finish(request, 0, to, Outcome::Error, 20.0);
     assert_eq!(sent_to(&late), None);
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_time_out_at_the_deadline_fails_a_request_that_may_run_only_once() {
-    let mut stage = Stage::new(settings(), cells());
+    let mut stage = BalancerHarness::new(settings(), cells());
     let (request, actions) = stage.arrive(ONCE);
     let to = sent_to(&actions).unwrap();
     stage.now += 500.0;
@@ -58,7 +58,7 @@
 #[test]
 fn once_goes_on_only_after_proof_that_it_never_ran() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut stage = Stage::new(settings(), cells());
+        let mut stage = BalancerHarness::new(settings(), cells());
         let (request, actions) = stage.arrive(ONCE);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
@@ -67,7 +67,7 @@
         assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
     }
     for outcome in [Outcome::Full, Outcome::Unreachable] {
-        let mut stage = Stage::new(settings(), cells());
+        let mut stage = BalancerHarness::new(settings(), cells());
         let (request, actions) = stage.arrive(ONCE);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
@@ -79,8 +79,8 @@
 #[test]
 fn a_keyed_request_stays_in_its_group() {
     for seed in 0..40 {
-        for (class, reach) in [(BY_CELL, 10), (BY_ZONE, 20)] {
-            let mut stage = Stage::new(settings(), cells());
+        for (class, reach) in [(KEYED_PER_CELL, 10), (KEYED_PER_ZONE, 20)] {
+            let mut stage = BalancerHarness::new(settings(), cells());
             (0..seed).for_each(|_| drop(stage.arrive(REPEATABLE)));
             let (request, actions) = stage.arrive(class);
             let Some(first) = sent_to(&actions) else { continue };
@@ -98,10 +98,10 @@
 fn a_keyed_request_is_not_resent_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
-    settings.classes[BY_CELL.0].aim = 5_000.0;
-    let mut stage = Stage::new(settings, cells());
-    stage.event(arrival(9_000, BY_CELL, 5_000.0));
-    (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
+    settings.classes[KEYED_PER_CELL.0].aim = 5_000.0;
+    let mut stage = BalancerHarness::new(settings, cells());
+    stage.handle_event(arrival(9_000, KEYED_PER_CELL, 5_000.0));
+    (0..2).for_each(|_| drop(stage.handle_event(Event::Woke(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
     let mut at = None;
@@ -130,7 +130,7 @@
 fn attempts_have_a_maximum() {
     let mut settings = settings();
     settings.limits.max_attempts = 2;
-    let mut stage = Stage::new(settings, cells());
+    let mut stage = BalancerHarness::new(settings, cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let first = sent_to(&actions).unwrap();
     let actions = stage.finish(request, 0, first, Outcome::Full, 1.0);
@@ -142,9 +142,9 @@
 
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1), listing(2), listing(3)]);
     let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    stage.handle_event(Event::Listed(ListNews::Changed(vec![drain])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).unwrap();
@@ -152,7 +152,7 @@
         stage.now += 5.0;
         stage.finish(request, 0, to, Outcome::Ok, 5.0);
     }
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
+    stage.handle_event(Event::Listed(ListNews::Complete(vec![listing(3)])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
@@ -163,8 +163,8 @@
 
 #[test]
 fn unavailable_keeps_the_list() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    stage.event(Event::Listed(ListNews::Unavailable));
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1)]);
+    stage.handle_event(Event::Listed(ListNews::Unavailable));
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
 }
 
@@ -172,15 +172,15 @@
 fn a_subscription_is_asked_for_after_a_jittered_wait_and_again_when_it_fails() {
     let mut settings = settings();
     settings.discovery = Discovery::Subscribed { must_ask_in: 10_000.0 };
-    let mut stage = Stage::new(settings, vec![]);
+    let mut stage = BalancerHarness::new(settings, vec![]);
     let mut waits = Vec::new();
-    let mut actions = stage.event(Event::Listed(ListNews::Restored(vec![listing(1)])));
+    let mut actions = stage.handle_event(Event::Listed(ListNews::Restored(vec![listing(1)])));
     for _ in 0..12 {
         // The first was asked for when the stage was set: only one call is ever pending.
         assert!(actions.iter().all(|action| !matches!(action, Action::WakeAt { .. })));
-        actions = stage.event(Event::Woke(0));
+        actions = stage.handle_event(Event::Woke(0));
         assert!(actions.contains(&Action::Subscribe));
-        let set = stage.event(Event::Listed(ListNews::Unavailable));
+        let set = stage.handle_event(Event::Listed(ListNews::Unavailable));
         waits.extend(set.iter().filter_map(|action| match action {
             Action::WakeAt { at, .. } => Some(at - stage.now),
             _ => None,
@@ -212,7 +212,7 @@
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
         for sidecar in 0..sidecars {
-            let mut stage = Stage::seeded(settings.clone(), servers.clone(), u64::from(sidecar));
+            let mut stage = BalancerHarness::with_seed(settings.clone(), servers.clone(), u64::from(sidecar));
             let gap = f64::from(sidecars) / per_ms;
             stage.now = start + gap * f64::from(sidecar) / f64::from(sidecars);
             while stage.now < start + span {
@@ -243,22 +243,22 @@
 
 #[test]
 fn a_restart_under_the_same_id_is_cold_again() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    let accepted = |stage: &mut Stage| {
+    let mut stage = BalancerHarness::new(settings(), vec![listing(1)]);
+    let accepted = |stage: &mut BalancerHarness| {
         let mut accepted = 0;
         for _ in 0..50 {
             // What a cold one may be sent is saved up as time passes.
             stage.now += 20.0;
             let (request, actions) = stage.arrive(REPEATABLE);
             accepted += u32::from(sent_to(&actions).is_some());
-            stage.event(Event::Abandoned(request));
+            stage.handle_event(Event::Abandoned(request));
             stage.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
         }
         accepted
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
     let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
+    stage.handle_event(Event::Listed(ListNews::Changed(vec![again])));
     let cold = accepted(&mut stage);
     assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -14,11 +14,11 @@
 /// Starts the program on servers that the test plays itself.
 fn start(addresses: &[SocketAddr], settings: &str) -> (Sidecar, Discovery) {
     let entries: Vec<String> =
-        addresses.iter().enumerate().map(|(n, at)| entry(&format!("s{n}"), *at, "ready")).collect();
-    let known = list(5, true, &entries);
+        addresses.iter().enumerate().map(|(n, at)| host_entry(&format!("s{n}"), *at, "ready")).collect();
+    let known = host_list(5, true, &entries);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, settings));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, settings));
+    sidecar.wait_until_up();
     (sidecar, discovery)
 }
 
@@ -36,18 +36,18 @@
     let came = Mutex::new(came);
     let upstream = Upstream::new(move |m| {
         came.lock().unwrap().send((m.clone(), Instant::now())).unwrap();
-        Deed::ok("served")
+        Behaviour::ok("served")
     });
     // Probes would open a second connection, and then there would be one that is quiet.
-    let settings = SETTINGS.replace(r#""probes":true"#, r#""probes":false"#);
-    let (sidecar, _discovery) = Sidecar::with_settings(&[&upstream], &settings);
-    let mut client = Client::to(sidecar.address);
+    let settings = SETTINGS_JSON.replace(r#""probes":true"#, r#""probes":false"#);
+    let (sidecar, _discovery) = Sidecar::for_upstreams_with_settings(&[&upstream], &settings);
+    let mut client = Client::connect(sidecar.address);
     let mut excess = Vec::new();
     for _ in 0..40 {
         let sent = Instant::now();
         client.send("bill", 6_000);
         assert_eq!(client.read().expect("an answer").status(), 200);
-        let (request, at) = arrivals.recv_timeout(FOREVER).unwrap();
+        let (request, at) = arrivals.recv_timeout(WAIT_TIMEOUT).unwrap();
         excess.push(excess_ms(&request, at, sent, 6_000));
     }
     assert_eq!(upstream.connections(), 1, "each waits until the one before has been quiet for long enough");
@@ -65,12 +65,12 @@
         Upstream::new(move |m| {
             came.lock().unwrap().send((m.clone(), Instant::now())).unwrap();
             std::thread::sleep(Duration::from_millis(400));
-            Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])
+            Behaviour::Respond(503, "X-Not-Processed: 1\r\n", vec![])
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstreams[0], &upstreams[1], &upstreams[2]]);
+    let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstreams[0], &upstreams[1], &upstreams[2]]);
     let sent = Instant::now();
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 5_000);
     assert_eq!(client.read().expect("an answer").status(), 503);
     let told: Vec<f64> = arrivals.try_iter().map(|(m, at)| excess_ms(&m, at, sent, 5_000)).collect();
@@ -81,12 +81,12 @@
 /// A server whose accept queue is full: the kernel tries anew to connect after 1 s.
 #[test]
 fn a_connection_that_comes_up_late_tells_what_is_left_by_then() {
-    let Late { listener, queue } = Late::new();
+    let FullAcceptQueue { listener, queue } = FullAcceptQueue::new();
     let address = listener.local_addr().unwrap();
-    let settings = SETTINGS.replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":25000.0"#);
+    let settings = SETTINGS_JSON.replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":25000.0"#);
     let (sidecar, _discovery) = start(&[address], &settings);
     let sent = Instant::now();
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 20_000);
     std::thread::sleep(Duration::from_millis(300));
     drop(queue);
@@ -97,7 +97,7 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
                 while let Some(message) = read_message(&mut reader) {
-                    if message.line.contains("/bill?") {
+                    if message.start_line.contains("/bill?") {
                         let _ = came.send((message, Instant::now()));
                     }
                     let _ = reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -106,7 +106,7 @@
         }
     });
     assert_eq!(client.read().expect("an answer").status(), 200);
-    let (request, at) = arrivals.recv_timeout(FOREVER).unwrap();
+    let (request, at) = arrivals.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert!(at - sent > Duration::from_millis(500), "it came up late");
     let excess = excess_ms(&request, at, sent, 20_000);
     assert!(excess < 150.0, "{excess}");
@@ -124,7 +124,7 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
                 while let Some(message) = read_message(&mut reader) {
-                    let probe = message.line.starts_with("GET /metrics/");
+                    let probe = message.start_line.starts_with("GET /metrics/");
                     if !probe && first.fetch_add(1, Ordering::SeqCst) == 0 {
                         let _ = reader.get_mut().write_all(bytes);
                         // What was read before the reset is all that there is.
@@ -153,8 +153,8 @@
         for (class, status, sends) in [("fetch", 200, 2), ("log", 200, 2), ("bill", 502, 1)] {
             let count = Arc::new(AtomicUsize::new(0));
             let addresses = [0, 1].map(|_| resets_first(bytes, &count));
-            let (sidecar, _discovery) = start(&addresses, SETTINGS);
-            let answer = Client::to(sidecar.address).ask(class);
+            let (sidecar, _discovery) = start(&addresses, SETTINGS_JSON);
+            let answer = Client::connect(sidecar.address).exchange(class);
             let said = String::from_utf8_lossy(bytes);
             assert_eq!(answer.status(), status, "{class}: {said}");
             assert_eq!(answer.body == b"served", status == 200, "{class}: {said}");
@@ -178,13 +178,13 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let half = || {
-                    until("the test lets go", || go.load(Ordering::SeqCst) > 0);
+                    wait_until("the test lets go", || go.load(Ordering::SeqCst) > 0);
                     let _ = (&stream).write_all(b"HTTP/1.1 20");
                 };
                 std::thread::scope(|scope| {
                     let mut waits = false;
                     while let Some(message) = read_message(&mut reader) {
-                        if message.line.contains("/fetch?") && message.header("x-hold").is_some() {
+                        if message.start_line.contains("/fetch?") && message.header("x-hold").is_some() {
                             holds.fetch_add(1, Ordering::SeqCst);
                             if !std::mem::replace(&mut waits, true) {
                                 scope.spawn(half);
@@ -201,13 +201,13 @@
         }
     });
     let slow = go.clone();
-    let other = Upstream::new(move |_| Deed::Wait(slow.clone()));
-    let (mut sidecar, _discovery) = start(&[address, other.address], SETTINGS);
+    let other = Upstream::new(move |_| Behaviour::RespondWhenReleased(slow.clone()));
+    let (mut sidecar, _discovery) = start(&[address, other.address], SETTINGS_JSON);
     let mut clients = Vec::new();
     // Until both servers hold some.
-    until("both hold a request", || {
-        let mut client = Client::to(sidecar.address);
-        let text = request("fetch", 20_000).replace("Host:", "X-Hold: 1\r\nHost:");
+    wait_until("both hold a request", || {
+        let mut client = Client::connect(sidecar.address);
+        let text = http_request("fetch", 20_000).replace("Host:", "X-Hold: 1\r\nHost:");
         client.write(text.as_bytes());
         clients.push(client);
         std::thread::sleep(Duration::from_millis(20));
@@ -217,10 +217,14 @@
     go.store(1, Ordering::SeqCst);
     for client in &mut clients {
         let answer = client.read().expect("an answer");
-        assert!(matches!(answer.status(), 200 | 503), "served, or refused for want of room: {}", answer.line);
+        assert!(
+            matches!(answer.status(), 200 | 503),
+            "served, or refused for want of room: {}",
+            answer.start_line
+        );
         assert!(answer.status() == 503 || answer.body == b"late", "only the other has answered whole");
     }
-    assert!(sidecar.wait_exit().success());
+    assert!(sidecar.wait_for_exit().success());
 }
 
 /// A keyed request is repeated within its window, counted from its first send, or not at all.
@@ -235,17 +239,17 @@
             let came = came.clone();
             Upstream::new(move |_| {
                 came.lock().unwrap().send(Instant::now()).unwrap();
-                Deed::Silence
+                Behaviour::NoResponse
             })
         });
-        let settings = SETTINGS
+        let settings = SETTINGS_JSON
             .replace(r#""window":5000.0"#, &format!(r#""window":{window}.0"#))
             .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":100.0"#)
             .replace(r#""aim":3000.0"#, r#""aim":260.0"#);
         let (sidecar, _discovery) =
-            Sidecar::with_settings(&[&upstreams[0], &upstreams[1], &upstreams[2]], &settings);
+            Sidecar::for_upstreams_with_settings(&[&upstreams[0], &upstreams[1], &upstreams[2]], &settings);
         let sent = Instant::now();
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.send("log", 2_000);
         let status = client.read().expect("an answer").status();
         assert_eq!(status, 502, "it may have run");
