--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -2,42 +2,45 @@
 //! of N requests only 2 roots of N and 2 more are put down to chance.
 
 mod common;
-mod fleet_stage;
+mod fleet_simulation;
 
 use common::{BalancerHarness, KEYED_PER_CELL, listing, sent_to, settings};
-use fleet_stage::*;
+use fleet_simulation::*;
 use sagemast::api::*;
 
 /// Plays a plan; no cold server may be sent more than it bears in any window.
-fn holds(name: &str, plan: &Plan) -> Used {
-    let played = play(plan);
-    let used = played.used(plan);
+fn holds(name: &str, plan: &Scenario) -> BudgetUse {
+    let played = simulate(plan);
+    let used = played.budget_use(plan);
     println!(
         "{name:20} {:3} modules, {:2} of {} cold: most {:.2}, brink {:.2}, mean {:.2}, first {:.2} of the budget; \
          sent {:?} in the first seconds, {} further attempts; refused {:.2}%, in time {:.1}%",
         plan.modules,
-        plan.cold,
+        plan.cold_servers,
         plan.servers,
-        used.most,
-        used.brink,
-        used.mean,
-        used.first,
-        played.by_second(),
-        played.further,
+        used.max_share,
+        used.max_share_of_limit,
+        used.mean_share,
+        used.first_window_share,
+        played.sends_by_second(),
+        played.further_attempts,
         100.0 * played.refused_share(),
-        100.0 * played.in_time as f64 / played.arrived as f64,
+        100.0 * played.answered_in_time as f64 / played.arrived as f64,
     );
-    assert!(used.brink < 1.0, "{name}, {} modules: {used:?}", plan.modules);
+    assert!(used.max_share_of_limit < 1.0, "{name}, {} modules: {used:?}", plan.modules);
     used
 }
 
 /// However many share the work, the first window and the whole warm-up get about as much of the budget. A few
 /// sidecars hear more of each server and send cold ones more for that alone.
-fn evenly(name: &str, plans: impl Fn(usize) -> Plan) {
+fn evenly(name: &str, plans: impl Fn(usize) -> Scenario) {
     let [few, some] = [4, 30].map(|modules| holds(name, &plans(modules)));
     for modules in [20, 100, 300] {
         let many = holds(name, &plans(modules));
-        for (many, some, few) in [(many.first, some.first, few.first), (many.mean, some.mean, few.mean)] {
+        for (many, some, few) in [
+            (many.first_window_share, some.first_window_share, few.first_window_share),
+            (many.mean_share, some.mean_share, few.mean_share),
+        ] {
             assert!(
                 many > 0.8 * some && many > 0.6 * few,
                 "{name}, {modules} modules: {many:.2} and {some:.2} of 30, {few:.2} of 4"
@@ -48,29 +51,32 @@
 
 #[test]
 fn a_fleet_of_any_size_uses_a_like_share_of_the_budget() {
-    evenly("ranked", |modules| Plan::new(modules, 60, 18, 1));
+    evenly("ranked", |modules| Scenario::new(modules, 60, 18, 1));
 }
 
 #[test]
 fn so_does_one_whose_sidecars_are_not_told_their_number() {
-    evenly("not ranked", |modules| Plan { ranked: false, ..Plan::new(modules, 60, 18, 2) });
+    evenly("not ranked", |modules| Scenario { rank_known: false, ..Scenario::new(modules, 60, 18, 2) });
 }
 
 #[test]
 fn three_hundred_on_two_hundred_servers_stay_within_the_budget() {
-    let used = holds("large", &Plan::new(300, 200, 60, 3));
-    assert!(used.first > 0.18, "{used:?}");
+    let used = holds("large", &Scenario::new(300, 200, 60, 3));
+    assert!(used.first_window_share > 0.18, "{used:?}");
 }
 
 #[test]
 fn one_alone_and_one_cold_server_alone_stay_within_the_budget() {
     for seed in 1..=5 {
-        holds("one sidecar", &Plan::new(1, 12, 4, seed));
-        holds("one sidecar, restart", &Plan { restarts: Some(2_000.0), ..Plan::new(1, 12, 4, seed) });
+        holds("one sidecar", &Scenario::new(1, 12, 4, seed));
+        holds(
+            "one sidecar, restart",
+            &Scenario { restart_span: Some(2_000.0), ..Scenario::new(1, 12, 4, seed) },
+        );
     }
     for modules in [1, 4, 20, 30, 100, 300] {
-        holds("one cold", &Plan::new(modules, 20, 1, 6));
-        holds("one server", &Plan { load: 1.5, ..Plan::new(modules, 1, 1, 7) });
+        holds("one cold", &Scenario::new(modules, 20, 1, 6));
+        holds("one server", &Scenario { load: 1.5, ..Scenario::new(modules, 1, 1, 7) });
     }
 }
 
@@ -80,7 +86,8 @@
 fn a_flood_at_one_that_has_just_come_back_stays_within_the_budget() {
     for modules in [30, 100, 300] {
         for seed in 1..=4 {
-            let plan = Plan { load: 5.0, until: START + 6_000.0, ..Plan::new(modules, 1, 1, seed) };
+            let plan =
+                Scenario { load: 5.0, end: REPLACEMENT_TIME + 6_000.0, ..Scenario::new(modules, 1, 1, seed) };
             holds("flood", &plan);
         }
     }
@@ -90,20 +97,20 @@
 #[test]
 fn overload_stays_within_the_budget() {
     for modules in [4, 30, 300] {
-        holds("overload", &Plan { load: 1.3, ..Plan::new(modules, 60, 18, 8) });
-        holds("all cold", &Plan { load: 0.9, ..Plan::new(modules, 30, 30, 9) });
-        let unequal = Plan { spread: 1.4, ranked: false, ..Plan::new(modules, 30, 30, 10) };
-        holds("all cold, unequal", &Plan { load: 1.3, ..unequal });
-        holds("others failing", &Plan { errors: 0.9, ..Plan::new(modules, 30, 3, 11) });
+        holds("overload", &Scenario { load: 1.3, ..Scenario::new(modules, 60, 18, 8) });
+        holds("all cold", &Scenario { load: 0.9, ..Scenario::new(modules, 30, 30, 9) });
+        let unequal = Scenario { speed_ratio: 1.4, rank_known: false, ..Scenario::new(modules, 30, 30, 10) };
+        holds("all cold, unequal", &Scenario { load: 1.3, ..unequal });
+        holds("others failing", &Scenario { error_share: 0.9, ..Scenario::new(modules, 30, 3, 11) });
     }
 }
 
 /// All have come back cold, and a third of them can do half as much as another third.
 #[test]
 fn slower_machines_stay_within_their_own_budget() {
-    for (load, ranked, seed) in [(0.9, true, 12), (0.9, false, 11), (2.0, true, 10), (2.0, false, 12)] {
-        let plan = Plan { load, ranked, spread: 1.4, ..Plan::new(300, 30, 30, seed) };
-        holds("slower", &Plan { until: START + 5_000.0, ..plan });
+    for (load, rank_known, seed) in [(0.9, true, 12), (0.9, false, 11), (2.0, true, 10), (2.0, false, 12)] {
+        let plan = Scenario { load, rank_known, speed_ratio: 1.4, ..Scenario::new(300, 30, 30, seed) };
+        holds("slower", &Scenario { end: REPLACEMENT_TIME + 5_000.0, ..plan });
     }
 }
 
@@ -111,10 +118,11 @@
 #[test]
 fn restarts_in_the_middle_stay_within_the_budget() {
     for modules in [4, 30, 300] {
-        for (ranked, load, span) in [(true, 0.65, 3_000.0), (false, 1.3, 2_000.0), (false, 1.3, 1.0)] {
-            let plan = Plan { ranked, load, restarts: Some(span), ..Plan::new(modules, 30, 10, 12) };
+        for (rank_known, load, span) in [(true, 0.65, 3_000.0), (false, 1.3, 2_000.0), (false, 1.3, 1.0)] {
+            let plan =
+                Scenario { rank_known, load, restart_span: Some(span), ..Scenario::new(modules, 30, 10, 12) };
             holds("restarts", &plan);
-            holds("restarts, all cold", &Plan { cold: 30, ..plan });
+            holds("restarts, all cold", &Scenario { cold_servers: 30, ..plan });
         }
     }
 }
@@ -124,9 +132,9 @@
 #[test]
 fn further_attempts_within_a_cell_stay_within_the_budget() {
     for modules in [4, 30, 300] {
-        for (ranked, restarts) in [(true, None), (false, None), (false, Some(3_000.0))] {
-            let plan = Plan { ranked, restarts, ..Plan::new(modules, 36, 27, 13) };
-            holds("cells", &Plan { keyed: true, errors: 0.5, cell: 4, load: 0.5, ..plan });
+        for (rank_known, restart_span) in [(true, None), (false, None), (false, Some(3_000.0))] {
+            let plan = Scenario { rank_known, restart_span, ..Scenario::new(modules, 36, 27, 13) };
+            holds("cells", &Scenario { keyed_only: true, error_share: 0.5, cell_size: 4, load: 0.5, ..plan });
         }
     }
 }
