--- a/benches/hollow/main.rs
+++ b/benches/hollow/main.rs
@@ -8,7 +8,7 @@
 
 use clap::Parser;
 use figures::Report;
-use sagemast::api::{Discovery, Safety};
+use sagemast::api::{ColdStartLimits, DiscoveryMode};
 use stage::{Plan, Stage, Trouble};
 
 /// Plays a hollow fleet and prints what it does to discovery and to cold servers.
@@ -62,7 +62,7 @@
 }
 
 fn plans(args: &Args) -> Vec<Plan> {
-    let asked = Discovery::Subscribed { must_ask_in: args.must_ask_in };
+    let asked = DiscoveryMode::Subscribe { subscribe_within: args.must_ask_in };
     let base = Plan {
         name: String::new(),
         seed: args.seed,
@@ -77,16 +77,21 @@
         span: 64_000,
         during: [2_000, 50_000],
         changes: 200,
-        discovery: Discovery::Pushed,
+        discovery: DiscoveryMode::Push,
         shared_versions: true,
         history: 1_024,
-        safety: Safety { cold_share: 0.16, warm_up: 21_000.0, fall_multiple: 2.5, fall: 1_500.0 },
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.16,
+            warm_up: 21_000.0,
+            overload_multiple: 2.5,
+            overload_duration: 1_500.0,
+        },
         starts_told: true,
         drain_grace: 2_000.0,
         trouble: Trouble::None,
     };
     let all = Plan { servers: args.all, sidecars: args.all, calls: 0, changes: 20, ..base.clone() };
-    let modes = [("pushed", Discovery::Pushed), ("asked", asked)];
+    let modes = [("pushed", DiscoveryMode::Push), ("asked", asked)];
     let mut plans = Vec::new();
     let mut add = |name: String, plan: Plan| plans.push(Plan { name, ..plan });
     for (mode, discovery) in modes {
--- a/benches/hollow/stage.rs
+++ b/benches/hollow/stage.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::spot;
+use sagemast::settings::ring_position;
 
 use crate::figures::{Calls, Report, Spread};
 
@@ -91,13 +91,13 @@
     /// Ordinary changes in that time: half of them drains, the others starts.
     pub changes: usize,
     /// How lists are told.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Whether all discovery machines number versions alike: else who moves to another gets the whole list.
     pub shared_versions: bool,
     /// So many changes a discovery machine can tell later; who misses more gets the whole list.
     pub history: usize,
     /// The rule about cold servers.
-    pub safety: Safety,
+    pub cold_start: ColdStartLimits,
     /// Whether servers that have started are listed as such.
     pub starts_told: bool,
     /// In this time sends to a server that leaves must stop (ms).
@@ -167,7 +167,7 @@
     service: usize,
     zone: usize,
     entry_bytes: u64,
-    spot: u64,
+    ring_position: u64,
     up: bool,
     /// It does not even refuse.
     vanished: bool,
@@ -177,7 +177,7 @@
     in_flight: u32,
     busy: f64,
     busy_at: Micros,
-    /// Sends within the last `fall` since it started.
+    /// Sends within the last `overload_duration` since it started.
     recent: VecDeque<Micros>,
     /// The most that came in any such time, as a share of its budget and of what makes it fall.
     worst: [f64; 2],
@@ -293,7 +293,7 @@
                     service,
                     zone,
                     entry_bytes: entry.len() as u64,
-                    spot: spot(name.as_bytes()),
+                    ring_position: ring_position(name.as_bytes()),
                     up: true,
                     vanished: false,
                     life: 0,
@@ -326,7 +326,7 @@
                     zone,
                     services: services.into_iter().collect(),
                     watch: 0,
-                    open: matches!(plan.discovery, Discovery::Pushed),
+                    open: matches!(plan.discovery, DiscoveryMode::Push),
                     machine: zone * plan.regions / plan.zones,
                     seq: 0,
                     told_since_open: false,
@@ -450,7 +450,7 @@
             What::End { request, attempt, outcome, life } => self.end(request, attempt, outcome, life),
             What::Deadline(request) => self.expire(request),
             What::Wake { sidecar, life, token } if self.sidecars[sidecar].life == life => {
-                self.event(sidecar, Event::Woke(token));
+                self.event(sidecar, Event::TimerFired(token));
             }
             What::Call { sidecar, watch } if self.current(sidecar, watch) => self.call(sidecar),
             What::CallFailed { sidecar, watch } | What::Ended { sidecar, watch }
@@ -499,7 +499,7 @@
     }
 
     fn pushed(&self) -> bool {
-        self.plan.discovery == Discovery::Pushed
+        self.plan.discovery == DiscoveryMode::Push
     }
 
     fn current(&self, sidecar: usize, watch: u32) -> bool {
@@ -539,7 +539,7 @@
             }
             // The settings allow none: answers carry reports.
             Action::Probe(_) => self.sums.probes += 1,
-            Action::WakeAt { at, token } => {
+            Action::SetTimer { at, token } => {
                 let life = self.sidecars[sidecar].life;
                 self.at(((at * 1e3).ceil() as Micros).max(self.now), What::Wake { sidecar, life, token });
             }
@@ -560,28 +560,28 @@
             .filter(|server| self.machines[machine].health[*server] != Health::Gone)
             .map(|server| self.listing(server, self.machines[machine].health[server]))
             .collect();
-        self.event(sidecar, Event::Listed(ListNews::Restored(listings)));
+        self.event(sidecar, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(listings)));
     }
 
     fn listed_by(&self, sidecar: usize) -> impl Iterator<Item = usize> {
         self.sidecars[sidecar].services.iter().flat_map(|service| self.by_service[*service].iter().copied())
     }
 
-    fn listing(&self, number: usize, health: Health) -> Listing {
+    fn listing(&self, number: usize, health: Health) -> UpstreamRecord {
         let server = &self.servers[number];
-        Listing {
+        UpstreamRecord {
             upstream: UpstreamId(number as u64 + 1),
             zone: ZoneId(server.zone as u64),
             cell: CellId(server.zone as u64),
-            spot: server.spot,
-            kind: KindId(0),
+            ring_position: server.ring_position,
+            machine_type: MachineTypeId(0),
             lifecycle: if matches!(health, Health::Ready { .. }) {
                 Lifecycle::Serving
             } else {
-                Lifecycle::Leaving
+                Lifecycle::Draining
             },
             weight: 1.0,
-            started: match health {
+            started_at: match health {
                 Health::Ready { born: Some(born) } if self.plan.starts_told => Some(born as f64 / 1e3),
                 _ => None,
             },
@@ -609,7 +609,7 @@
         let request = RequestId(request);
         self.event(
             sidecar,
-            Event::Arrived { request, class, tenant: TenantId(0), time_left: DEADLINE, cost: None },
+            Event::RequestArrived { request, class, tenant: TenantId(0), time_left: DEADLINE, cost: None },
         );
     }
 
@@ -632,7 +632,7 @@
         if alive {
             self.sums.expired += 1;
             self.finish(request);
-            self.event(sidecar, Event::Abandoned(RequestId(request)));
+            self.event(sidecar, Event::RequestAbandoned(RequestId(request)));
         } else {
             self.sums.lost += 1;
             self.open.remove(&request);
@@ -694,19 +694,19 @@
         // A play with few requests has servers that are as fast as one in earnest, and idle.
         let mean = mean.min(SERVICE * 1e3);
         let work = -(1.0 - self.rng.rand_float()).ln() * mean;
-        let (safety, now) = (self.plan.safety.clone(), self.now);
+        let (cold_start, now) = (self.plan.cold_start.clone(), self.now);
         let server = &mut self.servers[number];
-        let warmth = warmth(&safety, server.born, at);
+        let warmth = warmth(&cold_start, server.born, at);
         if warmth < 1.0 {
-            let fall = (safety.fall * 1e3) as Micros;
+            let fall = (cold_start.overload_duration * 1e3) as Micros;
             server.recent.push_back(at);
             while server.recent.front().is_some_and(|first| *first + fall <= at) {
                 server.recent.pop_front();
             }
             let middle = at.saturating_sub(fall / 2);
-            let present = self::warmth(&safety, server.born, middle.max(server.born.unwrap_or(0)));
+            let present = self::warmth(&cold_start, server.born, middle.max(server.born.unwrap_or(0)));
             let whole = SLOTS as f64 / mean * 1e3;
-            let allowed = safety.fall_multiple * present * whole * safety.fall;
+            let allowed = cold_start.overload_multiple * present * whole * cold_start.overload_duration;
             let falls_at = allowed + 2.0 * allowed.sqrt() + 2.0;
             let sent = server.recent.len() as f64;
             server.worst = [server.worst[0].max(sent / allowed), server.worst[1].max(sent / falls_at)];
@@ -716,10 +716,10 @@
         server.busy = busy + (server.busy - busy) * fade;
         server.busy_at = at;
         if f64::from(server.in_flight) > SLOTS as f64 * (1.0 + QUEUE) {
-            return (Outcome::Full, at);
+            return (Outcome::Rejected, at);
         }
         server.in_flight += 1;
-        let Some(slot) = server.free_at.iter_mut().min() else { return (Outcome::Full, now) };
+        let Some(slot) = server.free_at.iter_mut().min() else { return (Outcome::Rejected, now) };
         let done = at.max(*slot) + (work / warmth) as Micros;
         *slot = done;
         (Outcome::Ok, done)
@@ -758,13 +758,13 @@
         }
         self.event(
             sidecar,
-            Event::Finished(Finished {
+            Event::AttemptFinished(AttemptFinished {
                 request: RequestId(request),
                 attempt: AttemptNo(attempt),
                 upstream: UpstreamId(number as u64 + 1),
                 outcome,
                 latency: (self.now - sent) as f64 / 1e3,
-                closed,
+                request_completed: closed,
                 report,
             }),
         );
@@ -961,25 +961,25 @@
                     .map(|change| (change.server, change.health))
                     .collect();
                 let listings = latest.iter().map(|(server, health)| self.listing(*server, *health)).collect();
-                (ListNews::Changed(listings), changes)
+                (DiscoveryUpdate::Delta(listings), changes)
             }
             News::Whole(there, changes) => {
-                let listings: Vec<Listing> =
+                let listings: Vec<UpstreamRecord> =
                     there.iter().map(|(server, health)| self.listing(*server, *health)).collect();
                 for server in self.listed_by(sidecar).collect::<Vec<_>>() {
                     if !there.iter().any(|(listed, _)| *listed == server) {
                         self.sidecars[sidecar].leaving.entry(server as u64 + 1).or_insert(self.now);
                     }
                 }
-                (ListNews::Complete(listings), changes)
+                (DiscoveryUpdate::Snapshot(listings), changes)
             }
         };
-        if let ListNews::Changed(listings) | ListNews::Complete(listings) = &list {
+        if let DiscoveryUpdate::Delta(listings) | DiscoveryUpdate::Snapshot(listings) = &list {
             for listing in listings {
                 match listing.lifecycle {
                     Lifecycle::Serving => self.sidecars[sidecar].leaving.remove(&listing.upstream.0),
                     // From the first time on: that it is gone is no new start of the grace.
-                    Lifecycle::Leaving => {
+                    Lifecycle::Draining => {
                         Some(*self.sidecars[sidecar].leaving.entry(listing.upstream.0).or_insert(self.now))
                     }
                 };
@@ -993,7 +993,7 @@
                 self.in_force.record(self.now - change.at);
             }
         }
-        self.event(sidecar, Event::Listed(list));
+        self.event(sidecar, Event::DiscoveryUpdated(list));
     }
 
     /// Which machine a sidecar's calls lead to, if any answers.
@@ -1060,7 +1060,7 @@
             self.back_off(sidecar, false);
         } else {
             self.sidecars[sidecar].told_since_open = false;
-            self.event(sidecar, Event::Listed(ListNews::Unavailable));
+            self.event(sidecar, Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
         }
     }
 
@@ -1152,7 +1152,7 @@
 }
 
 /// A load report, in the module's terms.
-type Report0 = sagemast::api::Report;
+type Report0 = sagemast::api::LoadReport;
 
 /// How long a client waits (ms).
 const DEADLINE: Millis = 1_500.0;
@@ -1160,37 +1160,38 @@
 const SERVICE: f64 = 30.0;
 
 /// The share of its capacity that a server has: what the settings grant it, and no more.
-fn warmth(safety: &Safety, born: Option<Micros>, at: Micros) -> f64 {
+fn warmth(cold_start: &ColdStartLimits, born: Option<Micros>, at: Micros) -> f64 {
     let Some(born) = born else { return 1.0 };
-    let age = at.saturating_sub(born) as f64 / 1e3 / safety.warm_up;
-    (safety.cold_share + (1.0 - safety.cold_share) * age).min(1.0)
+    let age = at.saturating_sub(born) as f64 / 1e3 / cold_start.warm_up;
+    (cold_start.initial_capacity_fraction + (1.0 - cold_start.initial_capacity_fraction) * age).min(1.0)
 }
 
 fn module(plan: &Plan, number: usize, zone: usize, life: u32) -> Balancer {
-    let class = |effect| Class { aim: 400.0, worth: 1.0, late_worth: 0.2, effect };
+    let class =
+        |effect| Class { latency_target: 400.0, value: 1.0, late_value_fraction: 0.2, idempotency: effect };
     let settings = Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            class(Effect::ByKey { scope: Scope::Cell, window: 1_000.0 }),
-            class(Effect::Once),
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed { scope: DedupScope::Cell, window: 1_000.0 }),
+            class(Idempotency::NonIdempotent),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_value_fraction: 1.0,
         zone: ZoneId(zone as u64),
-        sidecars: plan.sidecars as u32,
-        rank: Some(number as u32),
-        crossing_fee: 0.03,
-        probe_fee: 0.01,
-        reports_in_answers: true,
+        sidecar_count: plan.sidecars as u32,
+        sidecar_index: Some(number as u32),
+        zone_crossing_cost: 0.03,
+        probe_cost: 0.01,
+        reports_in_responses: true,
         limits: Limits {
             max_attempts: 3,
-            duplicates: false,
-            probes: false,
-            cancel: true,
+            allow_concurrent_attempts: false,
+            allow_probes: false,
+            allow_cancellation: true,
             max_retry_after: 400.0,
-            tick: 4.0,
+            min_event_interval: 4.0,
         },
-        safety: plan.safety.clone(),
+        cold_start: plan.cold_start.clone(),
         discovery: plan.discovery,
     };
     let seed = plan.seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(life) << 48;
--- a/benches/slopes/module.rs
+++ b/benches/slopes/module.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::spot;
+use sagemast::settings::ring_position;
 
 use super::Plan;
 use super::stats::{Run, Size, Times};
@@ -45,49 +45,55 @@
 ];
 
 fn settings(size: Size) -> Settings {
-    let class = |effect| Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect };
+    let class =
+        |effect| Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect };
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            class(Effect::ByKey { scope: Scope::Cell, window: 2_000.0 }),
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed { scope: DedupScope::Cell, window: 2_000.0 }),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_value_fraction: 1.0,
         zone: ZoneId(0),
-        sidecars: size.sidecars as u32,
+        sidecar_count: size.sidecars as u32,
         // Any but the first; starting points are spread by the module.
-        rank: Some((size.sidecars / 3) as u32),
-        crossing_fee: 0.03,
-        probe_fee: 0.01,
-        reports_in_answers: true,
+        sidecar_index: Some((size.sidecars / 3) as u32),
+        zone_crossing_cost: 0.03,
+        probe_cost: 0.01,
+        reports_in_responses: true,
         limits: Limits {
             max_attempts: 3,
-            duplicates: false,
-            probes: true,
-            cancel: true,
+            allow_concurrent_attempts: false,
+            allow_probes: true,
+            allow_cancellation: true,
             max_retry_after: 400.0,
-            tick: 4.0,
+            min_event_interval: 4.0,
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
-        discovery: Discovery::Pushed,
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_duration: 2_000.0,
+        },
+        discovery: DiscoveryMode::Push,
     }
 }
 
 /// Whole cells lie in one zone, and cells go round the zones.
-fn listing(id: u64) -> Listing {
-    Listing {
+fn listing(id: u64) -> UpstreamRecord {
+    UpstreamRecord {
         upstream: UpstreamId(id),
         zone: ZoneId(id / CELL % ZONES),
         cell: CellId(id / CELL),
-        spot: spot(format!("s-{id:08x}").as_bytes()),
-        kind: KindId(id % 3),
+        ring_position: ring_position(format!("s-{id:08x}").as_bytes()),
+        machine_type: MachineTypeId(id % 3),
         lifecycle: Lifecycle::Serving,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
-fn list(size: Size) -> Vec<Listing> {
+fn list(size: Size) -> Vec<UpstreamRecord> {
     (0..size.servers).map(listing).collect()
 }
 
@@ -136,7 +142,7 @@
             actions: Vec::new(),
             fails: false,
         };
-        world.timed(Event::Listed(ListNews::Complete(list(size))));
+        world.timed(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list(size))));
         world
     }
 
@@ -148,11 +154,11 @@
         start.elapsed().as_nanos() as u64
     }
 
-    fn report(&mut self) -> Report {
-        Report {
+    fn report(&mut self) -> LoadReport {
+        LoadReport {
             in_flight: Some(1.0 + (5.0 * self.rng.rand_float()).floor()),
             utilisation: Some(0.3 + 0.3 * self.rng.rand_float()),
-            ..Report::default()
+            ..LoadReport::default()
         }
     }
 
@@ -172,7 +178,7 @@
                 }
                 Action::Probe(upstream) => {
                     let report = Some(self.report());
-                    self.timed(Event::Probed { upstream, answered: true, report });
+                    self.timed(Event::ProbeFinished { upstream, answered: true, report });
                 }
                 _ => {}
             }
@@ -200,7 +206,7 @@
         self.next += 1;
         let request = self.next;
         let class = if self.fails && request.is_multiple_of(FAIL_EVERY) { BY_CELL } else { REPEATABLE };
-        let event = Event::Arrived {
+        let event = Event::RequestArrived {
             request: RequestId(request),
             class,
             tenant: TenantId(0),
@@ -215,16 +221,16 @@
     fn finish(&mut self, request: u64, out: Out, timed: &mut Timed) {
         let Out { upstream, attempt, latency, outcome, spent } = out;
         let report = Some(self.report());
-        let finished = Finished {
+        let finished = AttemptFinished {
             request: RequestId(request),
             attempt,
             upstream,
             outcome,
             latency,
-            closed: outcome == Outcome::Ok,
+            request_completed: outcome == Outcome::Ok,
             report,
         };
-        let took = self.timed(Event::Finished(finished));
+        let took = self.timed(Event::AttemptFinished(finished));
         let further = outcome != Outcome::Ok && self.act(request, attempt.0 + 1, BY_CELL, spent + took);
         if further {
             timed.further.add(took);
@@ -282,14 +288,14 @@
     for number in 0..plan.changes {
         // A step that meets all of a list, whatever its length.
         let id = (number * 7 + seed) % size.servers;
-        let change = |world: &mut World, entry: Listing, times: &mut Times| {
+        let change = |world: &mut World, entry: UpstreamRecord, times: &mut Times| {
             world.now += 20.0;
-            times.add(world.timed(Event::Listed(ListNews::Changed(vec![entry]))));
+            times.add(world.timed(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![entry]))));
         };
-        change(&mut world, Listing { lifecycle: Lifecycle::Leaving, ..listing(id) }, &mut drain);
+        change(&mut world, UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(id) }, &mut drain);
         let started = Some(world.now);
-        change(&mut world, Listing { started, ..listing(id) }, &mut cold);
-        change(&mut world, Listing { started, ..listing(id) }, &mut ready);
+        change(&mut world, UpstreamRecord { started_at: started, ..listing(id) }, &mut cold);
+        change(&mut world, UpstreamRecord { started_at: started, ..listing(id) }, &mut ready);
     }
     for (name, times) in changes.into_iter().zip([drain, cold, ready]) {
         runs.extend(times.run(name, size).filter(|_| plan.wants(name)));
@@ -297,7 +303,7 @@
     let mut whole = Times::new();
     for _ in 0..plan.changes {
         world.now += 20.0;
-        let event = Event::Listed(ListNews::Complete(list(size)));
+        let event = Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list(size)));
         whole.add(world.timed(event));
     }
     runs.extend(whole.run("module/whole-list", size).filter(|_| plan.wants("module/whole-list")));
@@ -306,7 +312,7 @@
         world.now += 1.0;
         let report = Some(world.report());
         let upstream = UpstreamId(number * 7 % size.servers);
-        reports.add(world.timed(Event::Probed { upstream, answered: true, report }));
+        reports.add(world.timed(Event::ProbeFinished { upstream, answered: true, report }));
     }
     runs.extend(reports.run("module/report", size).filter(|_| plan.wants("module/report")));
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,21 +1,20 @@
-//! The interface of the decision module: settings, events in, actions out.
+//! The interface of the decision module: settings, input events and output actions.
 //!
-//! Times are milliseconds on the caller's own clock, which only moves forward. The module never
-//! reads a clock and does no I/O: the sidecar turns what happens into [`Event`]s and carries out
-//! the [`Action`]s that come back.
+//! Times are milliseconds on the caller's monotonic clock. The module never reads a clock and does no I/O: the
+//! sidecar reports what happens as [`Event`]s and carries out the [`Action`]s that the module returns.
 
-/// Milliseconds: a point on the caller's clock, or a span.
+/// Milliseconds: either a point on the caller's clock or a duration.
 pub type Millis = f64;
 
-/// One try of a client, as it entered this sidecar.
+/// Identifies one client request in this sidecar. A client's retry is a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A server that requests can be sent to. The same id means the same server across restarts.
+/// Identifies a server that requests can be sent to. The id stays the same across restarts of the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
-/// The number of a send of one request: 0 for the first, 1 for the next.
+/// The number of an attempt within its request, counted from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
@@ -23,317 +22,318 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`]; ignored where there are none.
+/// Index of a tenant in [`Settings::tenants`]; ignored if no tenants are configured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A place whose members reach each other cheaply.
+/// An availability zone. Traffic within a zone is cheap; traffic between zones has a cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u64);
 
-/// A small set of servers inside one zone that share their memory of keys.
+/// A group of servers within one zone that share a store of deduplication keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// A kind of machine, as discovery lists it: servers of one kind are taken to be alike until heard from.
+/// A machine type as listed by discovery. Servers of one type are assumed to have equal capacity until they
+/// report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u64);
+pub struct MachineTypeId(pub u64);
 
-/// Which servers discard repeats of a keyed request.
+/// The servers among which repeats of a keyed request are detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
-    /// Every server.
+pub enum DedupScope {
+    /// All servers.
     All,
-    /// The servers of the zone that may have run it.
+    /// The servers in the zone of the first attempt that may have run.
     Zone,
-    /// The servers of the cell that may have run it.
+    /// The servers in the cell of the first attempt that may have run.
     Cell,
 }
 
-/// What running a request twice would do.
+/// Whether and where a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
-    /// No harm.
-    Repeatable,
-    /// No harm within the scope and for the window counted from the first send that may have run.
-    ByKey {
-        /// Who discards repeats.
-        scope: Scope,
-        /// For how long.
+pub enum Idempotency {
+    /// Repeated execution is harmless on any server.
+    Idempotent,
+    /// Servers discard repeats by an idempotency key.
+    Keyed {
+        /// The servers that detect a repeat.
+        scope: DedupScope,
+        /// How long a repeat is detected, counted from the first attempt that may have run.
         window: Millis,
     },
-    /// Must never run twice.
-    Once,
+    /// The request must never be executed twice.
+    NonIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests with common latency, value and retry properties.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
-    pub aim: Millis,
-    /// What an answer in time is worth.
-    pub worth: f64,
-    /// The share of the worth that a later answer still earns.
-    pub late_worth: f64,
-    /// Whether it may run again.
-    pub effect: Effect,
+    /// A response within this time earns the full value.
+    pub latency_target: Millis,
+    /// The relative value of a response within the latency target.
+    pub value: f64,
+    /// The fraction of the value that a later response still earns.
+    pub late_value_fraction: f64,
+    /// Whether a request may be executed more than once.
+    pub idempotency: Idempotency,
 }
 
-/// A customer with a share of the service.
+/// A customer with a request quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, summed over all sidecars.
+    /// The quota in requests per second, summed over all sidecars.
     pub quota_per_s: f64,
 }
 
-/// What the caller's surroundings allow.
+/// Limits that the environment places on the module's actions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Sends of one request, at most.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be out at the same time.
-    pub duplicates: bool,
+    /// Whether two attempts of one request may be in flight at the same time.
+    pub allow_concurrent_attempts: bool,
     /// Whether probes may be sent.
-    pub probes: bool,
+    pub allow_probes: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
-    /// The longest wait that clients heed when refused; 0 where they heed none.
+    pub allow_cancellation: bool,
+    /// The longest retry delay that clients honour after a refusal; 0 if they honour none.
     pub max_retry_after: Millis,
-    /// The shortest time between two rounds of events.
-    pub tick: Millis,
+    /// The shortest time between two batches of events.
+    pub min_event_interval: Millis,
 }
 
-/// The figures of the two rules about servers that leave or have just started.
+/// How the capacity of a newly started server grows, and how much load it withstands meanwhile.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Safety {
-    /// A server starts with at least this share of its capacity.
-    pub cold_share: f64,
-    /// And has all of it after this long.
+pub struct ColdStartLimits {
+    /// The minimum fraction of its full capacity that a server has when it starts.
+    pub initial_capacity_fraction: f64,
+    /// The time after its start at which a server has its full capacity.
     pub warm_up: Millis,
-    /// Sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
-    /// ...for this long, a cold server falls over.
-    pub fall: Millis,
+    /// A cold server fails if its load exceeds this multiple of its current capacity for `overload_duration`.
+    pub overload_multiple: f64,
+    /// The duration of an overload that makes a cold server fail.
+    pub overload_duration: Millis,
 }
 
-/// How news of servers arrives.
+/// How the module receives updates of the server list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Discovery {
-    /// By itself.
-    Pushed,
-    /// Only after [`Action::Subscribe`].
-    Subscribed {
-        /// An unsubscribed sidecar must ask at least this often.
-        must_ask_in: Millis,
+pub enum DiscoveryMode {
+    /// Updates arrive without a subscription.
+    Push,
+    /// Updates arrive only after [`Action::Subscribe`].
+    Subscribe {
+        /// A sidecar without a subscription must request one at least this often.
+        subscribe_within: Millis,
     },
 }
 
-/// What the module is told at start. It never learns names.
+/// The settings of the decision module. They hold ids only; names stay with the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Request classes, by [`ClassId`].
+    /// Request classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// Tenants, by [`TenantId`]; may be empty.
+    /// Tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its worth that a request above its tenant's quota keeps.
-    pub over_quota_worth: f64,
+    /// The fraction of its value that a request above its tenant's quota keeps.
+    pub over_quota_value_fraction: f64,
     /// The zone of this sidecar.
     pub zone: ZoneId,
-    /// How many sidecars there are, this one included.
-    pub sidecars: u32,
-    /// The number of this one among them, from 0; `None` where it is not told.
-    pub rank: Option<u32>,
-    /// What one zone crossing costs, as a fraction of a mean request's worth.
-    pub crossing_fee: f64,
-    /// What one probe a request costs, likewise, over all sidecars together.
-    pub probe_fee: f64,
-    /// Whether answers carry load reports: else only probes do.
-    pub reports_in_answers: bool,
-    /// Allowances.
+    /// The number of sidecars in the fleet, this one included.
+    pub sidecar_count: u32,
+    /// The index of this sidecar in the fleet, counted from 0; `None` if unknown.
+    pub sidecar_index: Option<u32>,
+    /// The cost of sending one request to another zone, as a fraction of the mean request value.
+    pub zone_crossing_cost: f64,
+    /// The cost of one probe per request over all sidecars together, as a fraction of the mean request value.
+    pub probe_cost: f64,
+    /// Whether responses to requests carry load reports; if not, only probes do.
+    pub reports_in_responses: bool,
+    /// Limits on attempts, probes and cancellation.
     pub limits: Limits,
-    /// Rule figures.
-    pub safety: Safety,
-    /// How news of servers arrives.
-    pub discovery: Discovery,
+    /// Load limits for newly started servers.
+    pub cold_start: ColdStartLimits,
+    /// How updates of the server list arrive.
+    pub discovery: DiscoveryMode,
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It does.
+    /// The server accepts new requests.
     Serving,
-    /// It finishes what it has, or is gone: nothing new goes there.
-    Leaving,
+    /// The server only completes requests in flight or has terminated; no new request may be sent to it.
+    Draining,
 }
 
-/// A server as discovery lists it.
+/// A server as listed by discovery.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listing {
-    /// Its id.
+pub struct UpstreamRecord {
+    /// The id of the server.
     pub upstream: UpstreamId,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The deduplication cell of the server.
     pub cell: CellId,
-    /// Its place among all servers in an order that tells nothing else and that every sidecar sees alike.
-    pub spot: u64,
-    /// What kind of machine it is.
-    pub kind: KindId,
-    /// Whether it takes new work.
+    /// The server's position on the hash ring, which is the same in every sidecar.
+    pub ring_position: u64,
+    /// The machine type of the server.
+    pub machine_type: MachineTypeId,
+    /// Whether the server accepts new requests.
     pub lifecycle: Lifecycle,
-    /// Its size compared with others; 1 where nothing is known.
+    /// The capacity of the server relative to others; 1 if unknown.
     pub weight: f64,
-    /// When it last started, where that is not long ago.
-    pub started: Option<Millis>,
+    /// The time of the last start, if it was recent.
+    pub started_at: Option<Millis>,
 }
 
-/// News from discovery.
+/// An update of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListNews {
-    /// The complete list as last held before a restart; may be old.
-    Restored(Vec<Listing>),
-    /// The complete list; who is missing is gone.
-    Complete(Vec<Listing>),
-    /// Only what changed.
-    Changed(Vec<Listing>),
-    /// A call failed or the subscription broke; the list held stays.
+pub enum DiscoveryUpdate {
+    /// The complete list as saved before a restart of the sidecar; may be stale.
+    Restored(Vec<UpstreamRecord>),
+    /// The complete current list; servers missing from it are gone.
+    Snapshot(Vec<UpstreamRecord>),
+    /// Only the servers that changed.
+    Delta(Vec<UpstreamRecord>),
+    /// A call to discovery failed or the subscription broke; the current list stays in use.
     Unavailable,
 }
 
-/// A server's own report of its load. Any figure may be missing or absurd.
+/// A load report from a server. Values may be missing or out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
-    /// Requests it holds.
+pub struct LoadReport {
+    /// Number of requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// CPU utilisation, from 0 to 1.
     pub utilisation: Option<f64>,
-    /// Requests served a second.
-    pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Requests served per second.
+    pub requests_per_s: Option<f64>,
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
 /// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server returned a successful response.
     Ok,
-    /// An error answer; it may have run.
+    /// The server returned an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
-    Full,
-    /// No answer in time; it may have run or may yet.
+    /// The server rejected the request without processing it.
+    Rejected,
+    /// No response arrived in time; the request may have run or may still run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the request did not run.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The sidecar cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never left this sidecar.
+    /// The sidecar did not send the request.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect.
+    /// Whether the server may have executed the request.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::NotSent)
+        !matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent)
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Finished {
-    /// The request.
+pub struct AttemptFinished {
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its sends.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// Where it went.
+    /// The server that the attempt was sent to.
     pub upstream: UpstreamId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time from sending the attempt to its end.
     pub latency: Millis,
-    /// Whether the client has its final answer.
-    pub closed: bool,
-    /// A report that came with it.
-    pub report: Option<Report>,
+    /// Whether the client has received its final response.
+    pub request_completed: bool,
+    /// The load report that came with the response.
+    pub report: Option<LoadReport>,
 }
 
-/// Something that happened. Events at one time are handed over in order.
+/// An input to the module. Events of the same time are passed in the order in which they happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A client's try came in and is owed one final answer.
-    Arrived {
-        /// Its id, never used again.
+    /// A client request arrived; the module must end it with exactly one final response.
+    RequestArrived {
+        /// The id of the request; ids are never reused.
         request: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant that sent the request.
         tenant: TenantId,
-        /// How long the client waits.
+        /// Time until the client stops waiting.
         time_left: Millis,
-        /// Its expected work, where its client says so: only compared with that of others of its class.
+        /// The client's estimate of the work, comparable only within the class.
         cost: Option<f64>,
     },
-    /// An attempt ended; each [`Action::Send`] gets this once.
-    Finished(Finished),
-    /// The client left; nothing more is owed.
-    Abandoned(RequestId),
-    /// A probe came back.
-    Probed {
-        /// Who was asked.
+    /// An attempt ended; sent exactly once for each [`Action::Send`].
+    AttemptFinished(AttemptFinished),
+    /// The client disconnected; no response is needed any more.
+    RequestAbandoned(RequestId),
+    /// A probe ended.
+    ProbeFinished {
+        /// The server that was probed.
         upstream: UpstreamId,
-        /// Whether it answered.
+        /// Whether the server answered.
         answered: bool,
-        /// Its report.
-        report: Option<Report>,
+        /// The load report in the answer.
+        report: Option<LoadReport>,
     },
-    /// News from discovery.
-    Listed(ListNews),
-    /// A timer set with [`Action::WakeAt`] came due.
-    Woke(u64),
+    /// Discovery updated the server list.
+    DiscoveryUpdated(DiscoveryUpdate),
+    /// A timer set with [`Action::SetTimer`] expired; carries the token of that timer.
+    TimerFired(u64),
 }
 
-/// Something for the sidecar to do now, in order.
+/// An output of the module, to be carried out immediately and in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         upstream: UpstreamId,
-        /// Give the attempt up after this long.
+        /// Time after which the attempt is abandoned.
         timeout: Millis,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its sends.
+        /// The number of the attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: not done, trying again is harmless.
+    /// End the request with a refusal: it had no effect that makes a retry unsafe.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Millis,
     },
-    /// Final answer: failed, with no promise about effects.
+    /// End the request with a failure: it may have run, so a retry may be unsafe.
     Fail(RequestId),
-    /// Ask a server for its load.
+    /// Ask a server for a load report.
     Probe(UpstreamId),
-    /// Hand back [`Event::Woke`] with this token at this time or soon after.
-    WakeAt {
-        /// When.
+    /// Set a timer that returns [`Event::TimerFired`] at the given time or soon after.
+    SetTimer {
+        /// The expiry time.
         at: Millis,
-        /// What to hand back.
+        /// The token to return.
         token: u64,
     },
-    /// Ask discovery for changes from here on.
+    /// Subscribe to discovery updates from the current list version on.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operator log.
     Log(String),
 }
--- a/src/bin/sagemast-simhost/main.rs
+++ b/src/bin/sagemast-simhost/main.rs
@@ -8,13 +8,13 @@
 
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::{Column, report};
+use sagemast::settings::{ReportColumn, report_from_values};
 use wire::*;
 
 /// One sidecar's module, and how its load reports are laid out.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<Column>,
+    columns: Vec<ReportColumn>,
 }
 
 /// All instances of this process, and the numbered lists that their news refers to.
@@ -51,7 +51,7 @@
     ) -> Result<(), String> {
         match event {
             WireEvent::Hello { salt, config } => {
-                let balancer = Balancer::new(config.settings(), salt);
+                let balancer = Balancer::new(config.to_settings(), salt);
                 let instance = Instance { balancer, columns: config.columns() };
                 self.instances.insert(name.to_owned(), instance);
                 return Ok(());
@@ -82,47 +82,49 @@
 /// Turns a wire event into the module's; `None` for what it has no use for.
 fn translate(
     event: WireEvent,
-    columns: &[Column],
+    columns: &[ReportColumn],
     lists: &BTreeMap<u64, Vec<Row>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match event {
         WireEvent::Sync { mode, list } => {
-            let rows = || -> Result<Vec<Listing>, String> {
+            let rows = || -> Result<Vec<UpstreamRecord>, String> {
                 let number = list.ok_or("a list without its number")?;
                 let rows = lists.get(&number).ok_or_else(|| format!("list {number} is not defined"))?;
-                Ok(rows.iter().map(Listing::from).collect())
+                Ok(rows.iter().map(UpstreamRecord::from).collect())
             };
-            Event::Listed(match mode {
-                SyncMode::Update => ListNews::Changed(rows()?),
-                SyncMode::Replace => ListNews::Complete(rows()?),
-                SyncMode::Restored => ListNews::Restored(rows()?),
-                SyncMode::Unavailable => ListNews::Unavailable,
+            Event::DiscoveryUpdated(match mode {
+                SyncMode::Update => DiscoveryUpdate::Delta(rows()?),
+                SyncMode::Replace => DiscoveryUpdate::Snapshot(rows()?),
+                SyncMode::Restored => DiscoveryUpdate::Restored(rows()?),
+                SyncMode::Unavailable => DiscoveryUpdate::Unavailable,
             })
         }
-        WireEvent::Arrival { xid, owner, time_left, category, state_bits, cost_guess } => Event::Arrived {
-            request: RequestId(xid.0),
-            class: ClassId(category),
-            tenant: TenantId(owner),
-            time_left,
-            // Bit 1: the hint is valid.
-            cost: cost_guess.filter(|_| state_bits & 1 != 0),
-        },
-        WireEvent::Pong { upstream, disposition, server_stats } => Event::Probed {
+        WireEvent::Arrival { xid, owner, time_left, category, state_bits, cost_guess } => {
+            Event::RequestArrived {
+                request: RequestId(xid.0),
+                class: ClassId(category),
+                tenant: TenantId(owner),
+                time_left,
+                // Bit 1: the hint is valid.
+                cost: cost_guess.filter(|_| state_bits & 1 != 0),
+            }
+        }
+        WireEvent::Pong { upstream, disposition, server_stats } => Event::ProbeFinished {
             upstream: UpstreamId(upstream),
             answered: Outcome::from(disposition) == Outcome::Ok,
-            report: server_stats.map(|stats| report(columns, &stats)),
+            report: server_stats.map(|stats| report_from_values(columns, &stats)),
         },
-        WireEvent::Ring { token } => Event::Woke(token),
-        WireEvent::Lapsed { xid } => Event::Abandoned(RequestId(xid.0)),
+        WireEvent::Ring { token } => Event::TimerFired(token),
+        WireEvent::Lapsed { xid } => Event::RequestAbandoned(RequestId(xid.0)),
         WireEvent::Returned { xid, ended, upstream, shot, latency, disposition, server_stats } => {
-            Event::Finished(Finished {
+            Event::AttemptFinished(AttemptFinished {
                 request: RequestId(xid.0),
                 attempt: AttemptNo(shot),
                 upstream: UpstreamId(upstream),
                 outcome: disposition.into(),
                 latency,
-                closed: ended,
-                report: server_stats.map(|stats| report(columns, &stats)),
+                request_completed: ended,
+                report: server_stats.map(|stats| report_from_values(columns, &stats)),
             })
         }
         WireEvent::Heard {} | WireEvent::UnderWay {} => return Ok(None),
--- a/src/bin/sagemast-simhost/wire.rs
+++ b/src/bin/sagemast-simhost/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: JSON lines, read into types and turned into the module's own terms.
 
 use sagemast::api::*;
-use sagemast::settings::{Config, spot};
+use sagemast::settings::{SettingsObject, ring_position};
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -22,7 +22,7 @@
 pub enum WireEvent {
     Hello {
         salt: u64,
-        config: Box<Config>,
+        config: Box<SettingsObject>,
     },
     DefineList {
         list: u64,
@@ -116,7 +116,7 @@
         match wire {
             Disposition::Pass => Outcome::Ok,
             Disposition::Fault => Outcome::Error,
-            Disposition::NoRoom => Outcome::Full,
+            Disposition::NoRoom => Outcome::Rejected,
             Disposition::TooSlow => Outcome::TimedOut,
             Disposition::NoRoute => Outcome::Unreachable,
             Disposition::Cut => Outcome::Reset,
@@ -154,20 +154,20 @@
     Terminated,
 }
 
-impl From<&Row> for Listing {
-    fn from(row: &Row) -> Listing {
-        Listing {
+impl From<&Row> for UpstreamRecord {
+    fn from(row: &Row) -> UpstreamRecord {
+        UpstreamRecord {
             upstream: UpstreamId(row.upstream),
             zone: ZoneId(row.hall),
             cell: CellId(row.stripe),
-            spot: spot(&row.upstream.to_be_bytes()),
-            kind: KindId(row.shape),
+            ring_position: ring_position(&row.upstream.to_be_bytes()),
+            machine_type: MachineTypeId(row.shape),
             lifecycle: match row.lifecycle {
                 WireLifecycle::InService => Lifecycle::Serving,
-                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Leaving,
+                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Draining,
             },
             weight: row.capacity_hint,
-            started: (row.launched > 0.0).then_some(row.launched),
+            started_at: (row.launched > 0.0).then_some(row.launched),
         }
     }
 }
@@ -233,7 +233,7 @@
             }
             Action::Fail(request) => WireAction::Fail { xid: Hex(request.0) },
             Action::Probe(upstream) => WireAction::AskLoad { upstream: upstream.0 },
-            Action::WakeAt { at, token } => WireAction::SetAlarm { time: at, token },
+            Action::SetTimer { at, token } => WireAction::SetAlarm { time: at, token },
             Action::Subscribe => WireAction::Follow { want: true },
             Action::Log(text) => WireAction::NoteDown { text },
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -93,7 +93,8 @@
     /// A module that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers tell, a service time that leaves room for a queue and another try.
-        let service = settings.classes.iter().map(|class| Service::new(class.aim * SERVICE_PRIOR)).collect();
+        let service =
+            settings.classes.iter().map(|class| Service::new(class.latency_target * SERVICE_PRIOR)).collect();
         let seen = Learnt::new(service, settings.tenants.len(), RETRY_BURST);
         Balancer {
             settings,
@@ -110,20 +111,20 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Arrived { request, class, tenant, time_left, cost } => {
+            Event::RequestArrived { request, class, tenant, time_left, cost } => {
                 let held = Held { cost, ..Held::new(class, tenant, self.now, time_left.max(0.0)) };
                 self.arrived(request, held, out)
             }
-            Event::Finished(end) => {
+            Event::AttemptFinished(end) => {
                 self.settle(end, out);
                 self.finished(end, out);
             }
-            Event::Abandoned(request) => self.abandoned(request, out),
-            Event::Probed { upstream, answered, report } => self.heard(upstream, answered, report),
-            Event::Listed(news) => self.listed(news, out),
-            Event::Woke(0) if std::mem::take(&mut self.seen.ask_pending) => out.push(Action::Subscribe),
+            Event::RequestAbandoned(request) => self.abandoned(request, out),
+            Event::ProbeFinished { upstream, answered, report } => self.heard(upstream, answered, report),
+            Event::DiscoveryUpdated(news) => self.listed(news, out),
+            Event::TimerFired(0) if std::mem::take(&mut self.seen.ask_pending) => out.push(Action::Subscribe),
             // Of a timer that nothing waits for any more.
-            Event::Woke(_) => {}
+            Event::TimerFired(_) => {}
         }
     }
 
@@ -178,26 +179,29 @@
         let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.seen.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
-        let worth = self.settings.classes[held.class.0].worth;
-        worth * (within + (1.0 - within) * self.settings.over_quota_worth)
+        let worth = self.settings.classes[held.class.0].value;
+        worth * (within + (1.0 - within) * self.settings.over_quota_value_fraction)
             / self.seen.service[held.class.0].time.max(1.0)
     }
 
     /// Time until the answer loses its worth.
     fn aim_left(&self, held: &Held) -> Millis {
-        held.deadline.min(held.arrived + self.settings.classes[held.class.0].aim) - self.now
+        held.deadline.min(held.arrived + self.settings.classes[held.class.0].latency_target) - self.now
     }
 
     /// Ends a request: refused where that is safe to say, else failed.
     fn give_up(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.remove(&request) else { return };
-        let safe = match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => true,
-            Effect::ByKey { .. } | Effect::Once => !held.tries.iter().any(|t| t.may_have_run),
+        let safe = match self.settings.classes[held.class.0].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
+                !held.tries.iter().any(|t| t.may_have_run)
+            }
         };
         if safe {
             // Soon enough to make its aim yet, and spread: all that were refused together come back.
-            let soon = RETRY_AFTER * self.settings.classes[held.class.0].aim * self.rng.rand_float();
+            let soon =
+                RETRY_AFTER * self.settings.classes[held.class.0].latency_target * self.rng.rand_float();
             out.push(Action::Refuse { request, retry_after: soon.min(self.settings.limits.max_retry_after) });
         } else {
             out.push(Action::Fail(request));
@@ -212,7 +216,7 @@
         let aim_left = self.aim_left(held);
         // With roughly exponential answer times one expected at `wait` misses its aim with probability
         // exp(-aim/wait): while that is below the fee, crossing does not pay.
-        let fee = self.settings.crossing_fee;
+        let fee = self.settings.zone_crossing_cost;
         let near_limit = if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
         let near = if near_limit > 0.0 { near } else { 0 };
         let sums = self.roster.sums(self.now);
@@ -226,7 +230,7 @@
     pub(crate) fn candidate(&self, id: UpstreamId, held: &Held, view: &View) -> Option<Candidate> {
         let upstream = self.roster.upstreams.get(&id)?;
         let (in_flight, kappa) = (self.in_flight(upstream, view.others), self.kappa(upstream));
-        let warmth = upstream.warmth(self.now, &self.settings.safety);
+        let warmth = upstream.warmth(self.now, &self.settings.cold_start);
         let slowness = self.slowness(upstream) / warmth;
         let depth = ((in_flight + 1.0) / kappa).max(1.0);
         // One that was ejected is judged by its trials.
@@ -318,7 +322,7 @@
         let Some(upstream) = self.roster.upstreams.get_mut(&id) else { return };
         let waiting = self.now - upstream.probe_sent < STALE;
         let wanted = !waiting && self.now - upstream.reported_at > STALE;
-        if self.settings.limits.probes && wanted && self.seen.probe_tokens >= 1.0 {
+        if self.settings.limits.allow_probes && wanted && self.seen.probe_tokens >= 1.0 {
             self.seen.probe_tokens -= 1.0;
             upstream.probe_sent = self.now;
             out.push(Action::Probe(id));
@@ -347,24 +351,25 @@
         let left = (held.deadline - self.now).max(0.0);
         let class = &self.settings.classes[held.class.0];
         let last = held.tries.len() as u32 + 1 >= self.settings.limits.max_attempts;
-        if last || !others || class.effect == Effect::Once || self.seen.retry_tokens < 1.0 {
+        if last || !others || class.idempotency == Idempotency::NonIdempotent || self.seen.retry_tokens < 1.0
+        {
             return left;
         }
         // Another attempt is as much work as this one: what is large for its class needs the time once.
         let again = RETRY_ROOM * held.size * self.seen.service[held.class.0].time;
-        let spare = held.arrived + class.aim - self.now - again;
+        let spare = held.arrived + class.latency_target - self.now - again;
         spare.max(PATIENCE * to.expected()).min(left)
     }
 
     /// Goes on with the request after an attempt has ended.
-    fn finished(&mut self, end: Finished, out: &mut Vec<Action>) {
+    fn finished(&mut self, end: AttemptFinished, out: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(held) = self.requests.get_mut(&request) else { return };
         let Some(this) = held.tries.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
         this.out = false;
         // A jam once fed itself: answers that servers were full came soon, and made room as if in time.
-        let full = outcome == Outcome::Full;
-        let late = full || self.now > held.arrived + self.settings.classes[held.class.0].aim;
+        let full = outcome == Outcome::Rejected;
+        let late = full || self.now > held.arrived + self.settings.classes[held.class.0].latency_target;
         // An answer tells of the time since the one before: who gets few would find room again later.
         let told = 1.0 - (-(self.now - self.seen.ended_at) / ROOM_OVER).exp();
         let weight = if full { SMOOTH } else { told.clamp(SMOOTH_ALL, SMOOTH) };
@@ -372,7 +377,7 @@
         self.seen.room_scale = (self.seen.room_scale * (1.0 + step)).clamp(0.25, 1.0);
         self.seen.ended_at = self.now;
         this.may_have_run = outcome.may_have_run();
-        if end.closed || outcome == Outcome::Ok {
+        if end.request_completed || outcome == Outcome::Ok {
             return self.abandoned(request, out);
         }
         let held = held.clone();
@@ -389,15 +394,15 @@
     /// Forgets a request that has its answer, and stops what is still out for it.
     fn abandoned(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.remove(&request) else { return };
-        let cancel = self.settings.limits.cancel;
+        let cancel = self.settings.limits.allow_cancellation;
         for (number, _) in held.tries.iter().enumerate().filter(|(_, t)| t.out && cancel) {
             out.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
 
     /// Learns from an attempt's end, whether or not its request is still held.
-    fn settle(&mut self, end: Finished, out: &mut Vec<Action>) {
-        let Finished { upstream: id, outcome, latency, .. } = end;
+    fn settle(&mut self, end: AttemptFinished, out: &mut Vec<Action>) {
+        let AttemptFinished { upstream: id, outcome, latency, .. } = end;
         let Some(upstream) = self.roster.upstreams.get_mut(&id) else { return };
         let Some(sent) = upstream.take(end.request, end.attempt) else { return };
         let silent = upstream.answered_at <= sent.sent;
@@ -414,12 +419,12 @@
             Outcome::Ok => false,
             // Not accepted is no failure, but one that turns away much more than its peers drains, whatever
             // the list says yet: it looks idle and would be sent more.
-            Outcome::Error | Outcome::Unreachable | Outcome::Reset | Outcome::Full => true,
+            Outcome::Error | Outcome::Unreachable | Outcome::Reset | Outcome::Rejected => true,
             // Under overload good servers time out too; one that answered nothing in all that time hangs.
             Outcome::TimedOut if silent && latency >= PATIENCE * sent.to.expected() => true,
             _ => return,
         };
-        self.judge(id, sent.sent, failed, outcome != Outcome::Full, out);
+        self.judge(id, sent.sent, failed, outcome != Outcome::Rejected, out);
     }
 
     /// An answer tells the class's service time and this server's pace, with the queue taken out; a time-out
@@ -427,7 +432,7 @@
     fn learn(&mut self, id: UpstreamId, sent: Outstanding, latency: Millis, answered: bool) {
         // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
         let Some(server) = self.roster.upstreams.get(&id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.safety));
+        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.cold_start));
         let Some(upstream) = self.roster.upstreams.get_mut(&id) else { return };
         let alone = latency * warmth / sent.to.own;
         let service = &mut self.seen.service[sent.class.0];
@@ -445,7 +450,7 @@
         }
     }
 
-    fn heard(&mut self, id: UpstreamId, answered: bool, report: Option<Report>) {
+    fn heard(&mut self, id: UpstreamId, answered: bool, report: Option<LoadReport>) {
         let Some(upstream) = self.roster.upstreams.get_mut(&id) else { return };
         upstream.probe_sent = f64::NEG_INFINITY;
         if let (Some(report), true) = (report, answered) {
@@ -454,11 +459,11 @@
     }
 
     /// Takes in a server's own figures; what others have there by them counts for at least this share.
-    fn take_report(&mut self, id: UpstreamId, report: Report, least: f64) {
+    fn take_report(&mut self, id: UpstreamId, report: LoadReport, least: f64) {
         let Some(in_flight) = report.in_flight.filter(|m| m.is_finite() && *m >= 0.0) else { return };
-        let (now, seen, safety) = (self.now, &mut self.seen, &self.settings.safety);
+        let (now, seen, cold_start) = (self.now, &mut self.seen, &self.settings.cold_start);
         self.roster.change(id, now, |upstream| {
-            let used = report.utilisation.unwrap_or(1.0).clamp(0.0, 1.0) * upstream.warmth(now, safety);
+            let used = report.utilisation.unwrap_or(1.0).clamp(0.0, 1.0) * upstream.warmth(now, cold_start);
             seen.loaded(used, now, RATE_OVER);
             // Utilisation is a running mean, in-flight is of the moment: only means of both may be divided.
             let weight_over = |time: Millis| 1.0 - (-(now - upstream.reported_at) / time).exp();
@@ -519,28 +524,30 @@
 
     // --- The server list ---------------------------------------------------------------------
 
-    fn listed(&mut self, news: ListNews, out: &mut Vec<Action>) {
+    fn listed(&mut self, news: DiscoveryUpdate, out: &mut Vec<Action>) {
         self.seen.load_at.get_or_insert(self.now);
-        let failed = news == ListNews::Unavailable;
-        let must_ask = failed || matches!(news, ListNews::Restored(_));
+        let failed = news == DiscoveryUpdate::Unavailable;
+        let must_ask = failed || matches!(news, DiscoveryUpdate::Restored(_));
         let (now, rng) = (self.now, &mut self.rng);
         match news {
-            ListNews::Restored(all) | ListNews::Complete(all) => self.roster.relist(&all, true, now, rng),
-            ListNews::Changed(some) => self.roster.relist(&some, false, now, rng),
-            ListNews::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
+            DiscoveryUpdate::Restored(all) | DiscoveryUpdate::Snapshot(all) => {
+                self.roster.relist(&all, true, now, rng)
+            }
+            DiscoveryUpdate::Delta(some) => self.roster.relist(&some, false, now, rng),
+            DiscoveryUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
         if self.seen.kinds.len() > KINDS {
-            let listed: BTreeSet<KindId> = self.roster.upstreams.values().map(|u| u.kind).collect();
+            let listed: BTreeSet<MachineTypeId> = self.roster.upstreams.values().map(|u| u.kind).collect();
             self.seen.kinds.retain(|kind, _| listed.contains(kind));
         }
-        let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
-        let longest = must_ask_in.min(ASK_WITHIN);
+        let DiscoveryMode::Subscribe { subscribe_within } = self.settings.discovery else { return };
+        let longest = subscribe_within.min(ASK_WITHIN);
         self.seen.ask_wait =
-            (if failed { 2.0 * self.seen.ask_wait } else { ASK_OVER * must_ask_in }).min(longest);
+            (if failed { 2.0 * self.seen.ask_wait } else { ASK_OVER * subscribe_within }).min(longest);
         if must_ask && !std::mem::replace(&mut self.seen.ask_pending, true) {
             // Full jitter: many may have restarted or been cut off together, and the list serves few at once.
             let at = self.now + self.seen.ask_wait * self.rng.rand_float();
-            out.push(Action::WakeAt { at, token: 0 });
+            out.push(Action::SetTimer { at, token: 0 });
         }
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -67,7 +67,7 @@
 /// What class and tenant names stand for.
 pub struct Names {
     /// By class id.
-    pub classes: Vec<(String, Effect)>,
+    pub classes: Vec<(String, Idempotency)>,
     /// By tenant id.
     pub tenants: Vec<String>,
 }
@@ -447,17 +447,17 @@
     }
     let key = single(headers, "idempotency-key")?;
     match (request.method(), names.classes[class].1) {
-        (&Method::GET, Effect::Repeatable) if length > 0 => return Err(bad("GET has no body")),
-        (&Method::GET, Effect::Repeatable) => {}
+        (&Method::GET, Idempotency::Idempotent) if length > 0 => return Err(bad("GET has no body")),
+        (&Method::GET, Idempotency::Idempotent) => {}
         // Without its key upstreams could not drop a repeat.
-        (&Method::POST, Effect::ByKey { .. }) if key.is_none_or(str::is_empty) => {
+        (&Method::POST, Idempotency::Keyed { .. }) if key.is_none_or(str::is_empty) => {
             return Err(bad("Idempotency-Key is missing"));
         }
         // A key promises that a repeat is dropped; for this class it is not.
-        (&Method::POST, Effect::Once) if key.is_some() => {
+        (&Method::POST, Idempotency::NonIdempotent) if key.is_some() => {
             return Err(bad("the class takes no Idempotency-Key"));
         }
-        (&Method::POST, Effect::ByKey { .. } | Effect::Once) => {}
+        (&Method::POST, Idempotency::Keyed { .. } | Idempotency::NonIdempotent) => {}
         _ => return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class")),
     }
     let id = single(headers, "x-request-id")?.filter(|id| !id.is_empty() && id.len() <= ID_BYTES);
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use anyhow::{Context, Result, bail};
-use sagemast::settings::Config as SettingsObject;
+use sagemast::settings::SettingsObject;
 use serde::{Deserialize, Deserializer};
 
 use super::descriptors::OWN;
@@ -107,7 +107,7 @@
     /// Reads and checks the text of a configuration.
     pub fn parse(text: &[u8]) -> Result<Config> {
         let config: Config = serde_json::from_slice(text)?;
-        config.settings.check().map_err(anyhow::Error::msg)?;
+        config.settings.validate().map_err(anyhow::Error::msg)?;
         let mut seen = HashSet::new();
         if let Some(double) = config.settings.class_names().find(|name| !seen.insert(*name)) {
             bail!("two classes are named {double:?}");
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -13,7 +13,7 @@
 use oorandom::Rand64;
 use sagemast::Balancer;
 use sagemast::api::*;
-use sagemast::settings::{Column, Config as SettingsObject, report_from_text};
+use sagemast::settings::{ReportColumn, SettingsObject, report_from_text};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
@@ -144,7 +144,7 @@
 pub struct Driver {
     module: Balancer,
     settings: SettingsObject,
-    columns: Vec<Column>,
+    columns: Vec<ReportColumn>,
     subscribed: bool,
     front: Arc<Front>,
     inbox: mpsc::UnboundedReceiver<Happening>,
@@ -184,12 +184,12 @@
         descriptors: Arc<Descriptors>,
     ) -> Driver {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let mut told = settings.settings();
-        // The module keeps one tick in hand before a key's window ends, since in the simulator a send is on
-        // its way at once. Here it may first have to connect.
-        told.limits.tick = told.limits.tick.max(settings.connect_timeout_ms());
+        let mut told = settings.to_settings();
+        // The module keeps one event interval in hand before a key's window ends, since in the simulator a send
+        // is on its way at once. Here it may first have to connect.
+        told.limits.min_event_interval = told.limits.min_event_interval.max(settings.connect_timeout_ms());
         Driver {
-            subscribed: matches!(told.discovery, Discovery::Subscribed { .. }),
+            subscribed: matches!(told.discovery, DiscoveryMode::Subscribe { .. }),
             module: Balancer::new(told, seed),
             columns: settings.columns(),
             happenings: front.happenings.clone(),
@@ -210,7 +210,7 @@
             timers: BTreeMap::new(),
             next_timer: 0,
             descriptors,
-            probe_time: Duration::from_secs_f64(settings.shortest_aim_ms() * PROBE_SHARE / 1e3),
+            probe_time: Duration::from_secs_f64(settings.shortest_latency_target_ms() * PROBE_SHARE / 1e3),
             actions: Vec::new(),
             ending: false,
             settings,
@@ -274,7 +274,7 @@
         let now = Instant::now();
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Timer::Wake(token) => self.event(Event::Woke(token)),
+                Timer::Wake(token) => self.event(Event::TimerFired(token)),
                 Timer::Backstop(request) => self.backstop(request),
                 Timer::UpWithoutList if !self.front.ready.swap(true, Ordering::Relaxed) => {
                     log::line("no list of upstreams yet: up without one, and what comes is refused");
@@ -332,13 +332,13 @@
                 let text = answer.filter(|_| answered);
                 let text = text.as_ref().and_then(|answer| std::str::from_utf8(&answer.body).ok());
                 let report = text.and_then(|text| report_from_text(&self.columns, text));
-                self.event(Event::Probed { upstream, answered, report });
+                self.event(Event::ProbeFinished { upstream, answered, report });
             }
             Happening::Listed { watch, list } if watch == self.watches => self.listed(&list, false),
             Happening::DiscoveryFailed { watch, seq } if watch == self.watches => {
                 self.seq = seq;
                 self.moving = false;
-                self.event(Event::Listed(ListNews::Unavailable));
+                self.event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
             }
             // Of a watch that another has taken the place of.
             Happening::Listed { .. } | Happening::DiscoveryFailed { .. } => {}
@@ -372,7 +372,7 @@
         let open = Open { id, forward: Arc::new(forward), client, reply, sends: 0, deadline, timer };
         self.open.insert(request, open);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
-        self.event(Event::Arrived { request, class, tenant, time_left, cost });
+        self.event(Event::RequestArrived { request, class, tenant, time_left, cost });
     }
 
     /// Ends a request whose client has gone.
@@ -383,7 +383,7 @@
 
     /// Tells the module that a request is over without it, and ends what is out for it.
     fn leave(&mut self, request: RequestId) {
-        self.event(Event::Abandoned(request));
+        self.event(Event::RequestAbandoned(request));
         self.give_up_all(request);
     }
 
@@ -424,7 +424,7 @@
                 self.finish(request, Final::Failed);
             }
             Action::Probe(upstream) => self.probe(upstream),
-            Action::WakeAt { at, token } => {
+            Action::SetTimer { at, token } => {
                 let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                 let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
                 self.set_timer(at, Timer::Wake(token));
@@ -567,7 +567,8 @@
         let Some(sent) = self.sent.remove(&key) else { return };
         let latency = sent.at.elapsed().as_secs_f64() * 1e3;
         let report = answer.as_ref().and_then(|answer| {
-            let text = answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
+            let text =
+                answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_responses())?;
             report_from_text(&self.columns, text.to_str().ok()?)
         });
         // The first answer goes to the client by itself and ends the request; so does one that finds fault
@@ -584,13 +585,13 @@
             }
             _ => {}
         }
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(AttemptFinished {
             request: flight.request,
             attempt: flight.attempt,
             upstream: flight.upstream,
             outcome,
             latency,
-            closed,
+            request_completed: closed,
             report,
         }));
     }
@@ -642,10 +643,10 @@
         let now = self.millis(Instant::now());
         let listings = self.servers.take(list, whole, &self.settings, now);
         self.front.ready.fetch_or(!listings.is_empty() || (whole && !restored), Ordering::Relaxed);
-        self.event(Event::Listed(match (restored, whole) {
-            (true, _) => ListNews::Restored(listings),
-            (false, true) => ListNews::Complete(listings),
-            (false, false) => ListNews::Changed(listings),
+        self.event(Event::DiscoveryUpdated(match (restored, whole) {
+            (true, _) => DiscoveryUpdate::Restored(listings),
+            (false, true) => DiscoveryUpdate::Snapshot(listings),
+            (false, false) => DiscoveryUpdate::Delta(listings),
         }));
     }
 }
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sagemast::api::*;
-use sagemast::settings::{Config as SettingsObject, spot};
+use sagemast::settings::{SettingsObject, ring_position};
 
 use super::discovery::{Health, Host, HostList};
 use super::upstream::Pool;
@@ -14,7 +14,7 @@
     /// Its name.
     pub host: String,
     /// What the module knows of it.
-    pub listing: Listing,
+    pub listing: UpstreamRecord,
     /// Where it listens.
     pub dial: SocketAddr,
     /// Which of its lives this is: connections do not outlast one.
@@ -29,7 +29,7 @@
 impl Server {
     /// Closes its idle connections, and with the next life those that come back.
     fn ends(&mut self) {
-        self.listing.lifecycle = Lifecycle::Leaving;
+        self.listing.lifecycle = Lifecycle::Draining;
         self.gone = true;
         self.pool.clear();
     }
@@ -72,8 +72,8 @@
         whole: bool,
         settings: &SettingsObject,
         now: Millis,
-    ) -> Vec<Listing> {
-        let mut listings: Vec<Listing> =
+    ) -> Vec<UpstreamRecord> {
+        let mut listings: Vec<UpstreamRecord> =
             list.entries().map(|host| self.update(host, settings, now)).collect();
         if whole {
             // An entry that cannot be read is not missing: what was known of its host stands.
@@ -87,27 +87,27 @@
     }
 
     /// Takes in what discovery says of one host.
-    fn update(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> Listing {
+    fn update(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> UpstreamRecord {
         let id = *self.ids.entry(host.host.clone()).or_insert_with(|| {
             self.last_id += 1;
             UpstreamId(self.last_id)
         });
-        let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Leaving };
+        let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
         let known = self.by_id.get(&id).filter(|server| server.born_ms == host.born_ms);
         // A start in the future, by another machine's clock, is one just now.
-        let started = match known {
-            Some(server) => server.listing.started,
+        let started_at = match known {
+            Some(server) => server.listing.started_at,
             None => (host.born_ms > 0.0).then(|| (host.born_ms - self.epoch_unix_ms).min(now)),
         };
-        let listing = Listing {
+        let listing = UpstreamRecord {
             upstream: id,
-            zone: ZoneId(settings.zone_named(&host.site)),
+            zone: ZoneId(settings.zone_number(&host.site)),
             cell: CellId(host.block),
-            spot: spot(host.host.as_bytes()),
-            kind: KindId(settings.kind_named(&host.class)),
+            ring_position: ring_position(host.host.as_bytes()),
+            machine_type: MachineTypeId(settings.machine_type_number(&host.class)),
             lifecycle,
             weight: host.share,
-            started,
+            started_at,
         };
         let server = self.by_id.entry(id).or_insert_with(|| Server {
             host: host.host.clone(),
@@ -125,7 +125,7 @@
         }
         (server.dial, server.born_ms, server.listing) = (host.dial, host.born_ms, listing.clone());
         server.gone = false;
-        if lifecycle == Lifecycle::Leaving {
+        if lifecycle == Lifecycle::Draining {
             server.pool.clear();
         }
         if host.health == Health::Gone {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -223,7 +223,7 @@
     match answer.status {
         StatusCode::OK => Outcome::Ok,
         // Without the mark nothing says that it never ran.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Rejected,
         // About this sidecar's pace or the upstream's patience, not about the request.
         StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => Outcome::Error,
         // The client's fault: it must not count against the upstream, and another would say the same. What ends
--- a/src/reach.rs
+++ b/src/reach.rs
@@ -48,20 +48,20 @@
         let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else {
             return (self.reach.members.clone(), self.reach.near);
         };
-        let (own, tick) = (self.settings.zone, self.settings.limits.tick);
-        let scope = match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable => Scope::All,
-            // The window counts from the first send that may have run; a tick is kept in hand.
-            Effect::ByKey { scope, window } if self.now + tick < first.sent + window => scope,
-            Effect::ByKey { .. } | Effect::Once => return (Vec::new(), 0),
+        let (own, tick) = (self.settings.zone, self.settings.limits.min_event_interval);
+        let scope = match self.settings.classes[held.class.0].idempotency {
+            Idempotency::Idempotent => DedupScope::All,
+            // The window counts from the first send that may have run; one event interval is kept in hand.
+            Idempotency::Keyed { scope, window } if self.now + tick < first.sent + window => scope,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => return (Vec::new(), 0),
         };
         // What may go to few servers only may go to any of them.
-        let zone = if scope == Scope::All { own } else { first.zone };
-        let in_scope = |cell: &CellId| scope != Scope::Cell || *cell == first.cell;
+        let zone = if scope == DedupScope::All { own } else { first.zone };
+        let in_scope = |cell: &CellId| scope != DedupScope::Cell || *cell == first.cell;
         let ring = self.roster.zones.get(&zone).map_or(&[][..], Vec::as_slice);
         let mut ids: Vec<UpstreamId> = ring.iter().filter(|r| in_scope(&r.2)).map(|r| r.1).collect();
         let near = if zone == own { ids.len() } else { 0 };
-        if scope == Scope::All {
+        if scope == DedupScope::All {
             let others = self.roster.zones.iter().filter(|(zone, _)| **zone != own);
             ids.extend(others.flat_map(|(_, ring)| ring).map(|(_, id, _)| *id));
         }
@@ -78,11 +78,11 @@
             return;
         }
         let serving = self.roster.sums(self.now).serving as f64;
-        let covered = COVERED_BY * serving / f64::from(self.settings.sidecars.max(1));
+        let covered = COVERED_BY * serving / f64::from(self.settings.sidecar_count.max(1));
         let wanted = self.seen.arrivals.at(self.now, RATE_OVER) * HEARD_EACH / 1_000.0;
         // Who is not told its number draws from all.
-        let share = self.settings.rank.map_or(1.0, |_| wanted.max(covered).max(FEWEST) / serving);
-        let rank = f64::from(self.settings.rank.unwrap_or(0));
+        let share = self.settings.sidecar_index.map_or(1.0, |_| wanted.max(covered).max(FEWEST) / serving);
+        let rank = f64::from(self.settings.sidecar_index.unwrap_or(0));
         let (mut members, mut near) = (std::mem::take(&mut self.reach.members), 0);
         members.clear();
         for (zone, ring) in self.roster.zones_from(own) {
@@ -94,7 +94,7 @@
                 let Some(upstream) = self.roster.upstreams.get(id).filter(|_| wanted > 0.0) else { break };
                 members.push(*id);
                 if upstream.health == Health::Ready {
-                    wanted -= upstream.warmth(self.now, &self.settings.safety);
+                    wanted -= upstream.warmth(self.now, &self.settings.cold_start);
                 }
             }
             near = if *zone == own { members.len() } else { near };
@@ -127,7 +127,7 @@
     /// What a server may be sent a second. While it is cold all sidecars together must stay within a multiple of
     /// what it can do, so this one within its share. What it is answered is its part of what servers do, and their
     /// reports tell which part that is of all they could. Without any they are taken to do all they can.
-    pub(crate) fn allowed_per_s(&self, kind: KindId, warmth: f64) -> f64 {
+    pub(crate) fn allowed_per_s(&self, kind: MachineTypeId, warmth: f64) -> f64 {
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
@@ -138,7 +138,7 @@
         // A kind of machine that is slower than the mean can do less; a faster one is held for no more.
         let pace = seen.kinds.get(&kind).map_or(1.0, |kind| (kind.pace / seen.fleet.pace).max(1.0));
         let share = all / self.reach.members.len().max(1) as f64 / pace;
-        COLD_MARGIN * self.settings.safety.fall_multiple * warmth * share
+        COLD_MARGIN * self.settings.cold_start.overload_multiple * warmth * share
     }
 
     /// Whether a server may be sent this request. A cold one's share far below one call in a warm-up becomes a
@@ -170,8 +170,8 @@
 
     /// Probes that may be sent for each request. Each sidecar pays for its own, the fleet for all of them.
     pub(crate) fn probe_share(&self) -> f64 {
-        if self.settings.reports_in_answers && self.settings.probe_fee > 0.0 {
-            PROBE_COST / self.settings.probe_fee
+        if self.settings.reports_in_responses && self.settings.probe_cost > 0.0 {
+            PROBE_COST / self.settings.probe_cost
         } else {
             PROBE_BURST
         }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -133,7 +133,7 @@
 
     /// Takes over what discovery says. Who is missing from a whole list is gone; who does not serve any more is
     /// forgotten once nothing is out there.
-    pub fn relist(&mut self, list: &[Listing], whole: bool, now: Millis, rng: &mut Rand64) {
+    pub fn relist(&mut self, list: &[UpstreamRecord], whole: bool, now: Millis, rng: &mut Rand64) {
         if whole {
             self.upstreams.values_mut().for_each(|upstream| upstream.serving = false);
             self.zones.clear();
@@ -155,7 +155,8 @@
         }
         if whole {
             // In the order of the rings each goes to their ends.
-            let mut all: Vec<_> = self.upstreams.iter().map(|(id, upstream)| (upstream.spot, *id)).collect();
+            let mut all: Vec<_> =
+                self.upstreams.iter().map(|(id, upstream)| (upstream.ring_position, *id)).collect();
             all.sort_unstable();
             all.iter().for_each(|(_, id)| self.place(*id, now, true));
         }
@@ -179,10 +180,10 @@
             return;
         }
         self.sums.count(upstream, now, if there { 1 } else { -1 });
-        let spot = (upstream.spot, id, upstream.cell);
+        let ring_position = (upstream.ring_position, id, upstream.cell);
         let ring = self.zones.entry(upstream.zone).or_default();
-        match ring.binary_search(&spot) {
-            Err(at) if there => ring.insert(at, spot),
+        match ring.binary_search(&ring_position) {
+            Err(at) if there => ring.insert(at, ring_position),
             Ok(at) if !there && ring.len() > 1 => drop(ring.remove(at)),
             Ok(_) if !there => drop(self.zones.remove(&upstream.zone)),
             _ => {}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object and load reports. The simulator's first message and the sidecar's configuration
-//! hold the same object, so both programs read it here.
+//! Parsing of the settings object and of load reports. The settings object is the same in the simulator's first
+//! message and in the sidecar's configuration file.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 
 use crate::api::*;
 
-/// The settings object as it stands on the wire. Keys that are not listed here are passed over.
+/// The settings object as serialized. Unknown keys are ignored.
 #[derive(Deserialize)]
-pub struct Config {
+pub struct SettingsObject {
     classes: Vec<WireClass>,
     #[serde(default)]
     tenants: Vec<WireTenant>,
@@ -29,8 +29,8 @@
     allowed: Allowed,
     invariants: Invariants,
     #[serde(default)]
-    period: f64,
-    membership_mode: Membership,
+    period: Millis,
+    membership_mode: MembershipMode,
     telemetry: Telemetry,
 }
 
@@ -39,29 +39,31 @@
     #[serde(default)]
     name: String,
     #[serde(default)]
-    hard_limit: f64,
-    aim: f64,
+    hard_limit: Millis,
+    aim: Millis,
     importance: f64,
     #[serde(default)]
     late_worth: f64,
-    effect: WireEffect,
+    effect: WireIdempotency,
     #[serde(default)]
-    dedup_scope: WireScope,
+    dedup_scope: WireDedupScope,
     #[serde(default)]
-    window: f64,
+    window: Millis,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum WireEffect {
-    Repeatable,
-    ByKey,
-    Once,
+enum WireIdempotency {
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "by_key")]
+    Keyed,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
-enum WireScope {
+enum WireDedupScope {
     All,
     Zone,
     #[default]
@@ -88,40 +90,40 @@
     #[serde(default)]
     retry_after: bool,
     #[serde(default)]
-    max_retry_after: f64,
-    #[serde(default = "default_keepalive")]
-    keepalive: f64,
-    #[serde(default = "default_connect_timeout")]
-    connect_timeout: f64,
+    max_retry_after: Millis,
+    #[serde(default = "default_keepalive_ms")]
+    keepalive: Millis,
+    #[serde(default = "default_connect_timeout_ms")]
+    connect_timeout: Millis,
 }
 
-fn default_keepalive() -> f64 {
+fn default_keepalive_ms() -> Millis {
     15_000.0
 }
 
-fn default_connect_timeout() -> f64 {
+fn default_connect_timeout_ms() -> Millis {
     250.0
 }
 
 #[derive(Deserialize)]
 struct Invariants {
     cold_share: f64,
-    warm_up: f64,
+    warm_up: Millis,
     fall_multiple: f64,
-    fall: f64,
+    fall: Millis,
     #[serde(default)]
-    must_ask_in: f64,
-    #[serde(default = "default_drain_grace")]
-    drain_grace: f64,
+    must_ask_in: Millis,
+    #[serde(default = "default_drain_grace_ms")]
+    drain_grace: Millis,
 }
 
-fn default_drain_grace() -> f64 {
+fn default_drain_grace_ms() -> Millis {
     1_000.0
 }
 
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum Membership {
+enum MembershipMode {
     Automatic,
     Subscribe,
 }
@@ -134,59 +136,61 @@
     columns: Vec<String>,
 }
 
-impl Config {
-    /// The settings in the module's terms.
-    pub fn settings(&self) -> Settings {
+impl SettingsObject {
+    /// Converts to the settings of the decision module.
+    pub fn to_settings(&self) -> Settings {
         Settings {
-            classes: self.classes.iter().map(WireClass::class).collect(),
+            classes: self.classes.iter().map(WireClass::to_class).collect(),
             tenants: self.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
-            over_quota_worth: self.over_share_worth,
+            over_quota_value_fraction: self.over_share_worth,
             zone: ZoneId(self.zone),
-            sidecars: self.peers_total,
-            rank: self.rank,
-            crossing_fee: self.fees.get("cross_zone").copied().unwrap_or(0.0),
-            probe_fee: self.fees.get("probe").copied().unwrap_or(0.0),
-            reports_in_answers: self.reports_in_answers(),
+            sidecar_count: self.peers_total,
+            sidecar_index: self.rank,
+            zone_crossing_cost: self.fees.get("cross_zone").copied().unwrap_or(0.0),
+            probe_cost: self.fees.get("probe").copied().unwrap_or(0.0),
+            reports_in_responses: self.reports_in_responses(),
             limits: Limits {
                 max_attempts: self.allowed.max_attempts,
-                duplicates: self.allowed.may_duplicate,
-                probes: self.allowed.probes,
-                cancel: self.allowed.cancel,
+                allow_concurrent_attempts: self.allowed.may_duplicate,
+                allow_probes: self.allowed.probes,
+                allow_cancellation: self.allowed.cancel,
                 max_retry_after: if self.allowed.retry_after { self.allowed.max_retry_after } else { 0.0 },
-                tick: self.period,
+                min_event_interval: self.period,
             },
-            safety: Safety {
-                cold_share: self.invariants.cold_share,
+            cold_start: ColdStartLimits {
+                initial_capacity_fraction: self.invariants.cold_share,
                 warm_up: self.invariants.warm_up,
-                fall_multiple: self.invariants.fall_multiple,
-                fall: self.invariants.fall,
+                overload_multiple: self.invariants.fall_multiple,
+                overload_duration: self.invariants.fall,
             },
             discovery: match self.membership_mode {
-                Membership::Automatic => Discovery::Pushed,
-                Membership::Subscribe => Discovery::Subscribed { must_ask_in: self.invariants.must_ask_in },
+                MembershipMode::Automatic => DiscoveryMode::Push,
+                MembershipMode::Subscribe => {
+                    DiscoveryMode::Subscribe { subscribe_within: self.invariants.must_ask_in }
+                }
             },
         }
     }
 
-    /// Tells what no sidecar could work with; the simulator's own settings always pass.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks that the settings are usable and describes the first invalid value.
+    pub fn validate(&self) -> Result<(), String> {
         let positive = |name: &str, value: f64| {
-            let sound = value.is_finite() && value > 0.0 && value < 1e9;
-            if sound { Ok(()) } else { Err(format!("{name} is {value}")) }
+            let valid = value.is_finite() && value > 0.0 && value < 1e9;
+            if valid { Ok(()) } else { Err(format!("{name} must be positive and below 1e9: got {value}")) }
         };
         if self.classes.is_empty() {
-            return Err("there are no classes".to_owned());
+            return Err("classes must not be empty".to_owned());
         }
         for class in &self.classes {
             if class.name.is_empty() {
-                return Err("a class has no name".to_owned());
+                return Err("class name must not be empty".to_owned());
             }
             positive("aim", class.aim)?;
             positive("hard_limit", class.hard_limit)?;
             positive("importance", class.importance)?;
         }
         if self.allowed.max_attempts == 0 {
-            return Err("max_attempts is 0".to_owned());
+            return Err("max_attempts must be at least 1: got 0".to_owned());
         }
         positive("keepalive", self.allowed.keepalive)?;
         positive("connect_timeout", self.allowed.connect_timeout)?;
@@ -195,160 +199,160 @@
         positive("fall_multiple", self.invariants.fall_multiple)
     }
 
-    /// Names and effects of the classes, by class id.
-    pub fn classes(&self) -> Vec<(String, Effect)> {
-        self.classes.iter().map(|class| (class.name.clone(), class.class().effect)).collect()
+    /// Names and idempotency of the classes, indexed by class id.
+    pub fn classes(&self) -> Vec<(String, Idempotency)> {
+        self.classes.iter().map(|class| (class.name.clone(), class.to_class().idempotency)).collect()
     }
 
-    /// Names of the classes, by class id.
+    /// Names of the classes, indexed by class id.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|class| class.name.as_str())
     }
 
-    /// Names of the tenants, by tenant id.
+    /// Names of the tenants, indexed by tenant id.
     pub fn tenant_names(&self) -> Vec<String> {
         self.tenants.iter().map(|tenant| tenant.name.clone()).collect()
     }
 
-    /// The number of a zone. One that the settings do not name gets a number that no other has.
-    pub fn zone_named(&self, name: &str) -> u64 {
-        number_of(&self.azs, name)
+    /// The number of a zone: its index in the settings, or a hash of its name if the settings do not list it.
+    pub fn zone_number(&self, name: &str) -> u64 {
+        index_or_hash(&self.azs, name)
     }
 
-    /// The number of a kind of machine, likewise.
-    pub fn kind_named(&self, name: &str) -> u64 {
-        number_of(&self.kinds, name)
+    /// The number of a machine type: its index in the settings, or a hash of its name if they do not list it.
+    pub fn machine_type_number(&self, name: &str) -> u64 {
+        index_or_hash(&self.kinds, name)
     }
 
-    /// The longest that any client waits, over all its tries.
+    /// The longest deadline of any class, including the client's own retries.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.hard_limit).fold(0.0, f64::max)
     }
 
-    /// The shortest time in which any class is to be answered.
-    pub fn shortest_aim_ms(&self) -> Millis {
+    /// The shortest latency target of any class.
+    pub fn shortest_latency_target_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.aim).fold(f64::INFINITY, f64::min)
     }
 
-    /// After this long without use connections are closed.
+    /// Idle time after which upstreams close a connection.
     pub fn keepalive_ms(&self) -> Millis {
         self.allowed.keepalive
     }
 
-    /// Once it is told that a server leaves, sends to it must stop in this time.
+    /// Grace period after notice that a server is draining; no request may be sent to it afterwards.
     pub fn drain_grace_ms(&self) -> Millis {
         self.invariants.drain_grace.clamp(0.0, 1e9)
     }
 
-    /// A connection that has not come up by then has failed.
+    /// Timeout for establishing a connection to an upstream.
     pub fn connect_timeout_ms(&self) -> Millis {
         self.allowed.connect_timeout
     }
 
-    /// Whether answers to requests hold load reports.
-    pub fn reports_in_answers(&self) -> bool {
+    /// Whether responses to requests carry load reports.
+    pub fn reports_in_responses(&self) -> bool {
         self.telemetry.how == "piggyback"
     }
 
-    /// The figures of a load report, in the order of a positional one.
-    pub fn columns(&self) -> Vec<Column> {
-        self.telemetry.columns.iter().map(|name| Column::named(name)).collect()
+    /// The columns of a positional load report, in order.
+    pub fn columns(&self) -> Vec<ReportColumn> {
+        self.telemetry.columns.iter().map(|name| ReportColumn::from_name(name)).collect()
     }
 }
 
 impl WireClass {
-    fn class(&self) -> Class {
+    fn to_class(&self) -> Class {
         let scope = match self.dedup_scope {
-            WireScope::All => Scope::All,
-            WireScope::Zone => Scope::Zone,
-            WireScope::Cell => Scope::Cell,
+            WireDedupScope::All => DedupScope::All,
+            WireDedupScope::Zone => DedupScope::Zone,
+            WireDedupScope::Cell => DedupScope::Cell,
         };
         Class {
-            aim: self.aim,
-            worth: self.importance,
-            late_worth: self.late_worth,
-            effect: match self.effect {
-                WireEffect::Repeatable => Effect::Repeatable,
-                WireEffect::ByKey => Effect::ByKey { scope, window: self.window },
-                WireEffect::Once => Effect::Once,
+            latency_target: self.aim,
+            value: self.importance,
+            late_value_fraction: self.late_worth,
+            idempotency: match self.effect {
+                WireIdempotency::Idempotent => Idempotency::Idempotent,
+                WireIdempotency::Keyed => Idempotency::Keyed { scope, window: self.window },
+                WireIdempotency::NonIdempotent => Idempotency::NonIdempotent,
             },
         }
     }
 }
 
-/// A figure in a load report that the module can use.
+/// A column of a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Column {
-    /// Requests in hand.
+pub enum ReportColumn {
+    /// Requests in flight.
     InFlight,
-    /// How busy the cores are.
+    /// CPU utilisation.
     Utilisation,
-    /// Requests served a second.
-    Served,
-    /// Errors a second.
-    Errors,
-    /// One that the module has no use for.
-    Other,
+    /// Requests served per second.
+    RequestsPerS,
+    /// Errors per second.
+    ErrorsPerS,
+    /// A column that the module does not use.
+    Unused,
 }
 
-impl Column {
-    fn named(name: &str) -> Column {
+impl ReportColumn {
+    fn from_name(name: &str) -> ReportColumn {
         match name {
-            "inflight" => Column::InFlight,
-            "util" => Column::Utilisation,
-            "qps" => Column::Served,
-            "eps" => Column::Errors,
-            _ => Column::Other,
+            "inflight" => ReportColumn::InFlight,
+            "util" => ReportColumn::Utilisation,
+            "qps" => ReportColumn::RequestsPerS,
+            "eps" => ReportColumn::ErrorsPerS,
+            _ => ReportColumn::Unused,
         }
     }
 }
 
-/// Puts the figures of a report in their places.
-pub fn report(columns: &[Column], stats: &[f64]) -> Report {
-    let mut report = Report::default();
-    for (column, value) in columns.iter().zip(stats) {
+/// Builds a load report from positional values; `columns` names the column of each value.
+pub fn report_from_values(columns: &[ReportColumn], values: &[f64]) -> LoadReport {
+    let mut report = LoadReport::default();
+    for (column, value) in columns.iter().zip(values) {
         match column {
-            Column::InFlight => report.in_flight = Some(*value),
-            Column::Utilisation => report.utilisation = Some(*value),
-            Column::Served => report.served_per_s = Some(*value),
-            Column::Errors => report.errors_per_s = Some(*value),
-            Column::Other => {}
+            ReportColumn::InFlight => report.in_flight = Some(*value),
+            ReportColumn::Utilisation => report.utilisation = Some(*value),
+            ReportColumn::RequestsPerS => report.requests_per_s = Some(*value),
+            ReportColumn::ErrorsPerS => report.errors_per_s = Some(*value),
+            ReportColumn::Unused => {}
         }
     }
     report
 }
 
-/// The place of a server in the order that all sidecars share, drawn from its name (FNV-1a).
-pub fn spot(name: &[u8]) -> u64 {
+/// The position of a server on the hash ring: the FNV-1a hash of its name, mixed. It is the same in every sidecar.
+pub fn ring_position(name: &[u8]) -> u64 {
     let hash = name.iter().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    // Names differ in their last bytes, which alone do not reach the upper bits.
+    // FNV-1a barely spreads the last bytes, in which names differ, to the upper bits: mix them in.
     (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The place of a name in a list; for a stranger a number past the end, drawn from the name itself.
-fn number_of(names: &[String], name: &str) -> u64 {
-    let stranger = || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257) + u64::from(byte));
-    names.iter().position(|known| known == name).map_or_else(stranger, |place| place as u64)
+/// The index of a name in a list; for an unknown name, a hash of the name offset past the list.
+fn index_or_hash(names: &[String], name: &str) -> u64 {
+    let hash = || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257) + u64::from(byte));
+    names.iter().position(|known| known == name).map_or_else(hash, |index| index as u64)
 }
 
-/// Reads a load report of the form `TEXT inflight=7, util=0.61`: the figures that the settings name. `None`
-/// where there is no sound one.
-pub fn report_from_text(columns: &[Column], text: &str) -> Option<Report> {
-    let figures = text.trim().strip_prefix("TEXT")?;
-    let (mut used, mut stats) = (Vec::new(), Vec::new());
-    for figure in figures.split(',') {
-        let Some((name, value)) = figure.split_once('=') else { continue };
-        let column = Column::named(name.trim());
-        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MOST).contains(v));
+/// Parses a load report of the form `TEXT inflight=7, util=0.61` and keeps the values of `columns`. Returns `None`
+/// if no such value is valid.
+pub fn report_from_text(columns: &[ReportColumn], text: &str) -> Option<LoadReport> {
+    let fields = text.trim().strip_prefix("TEXT")?;
+    let (mut used_columns, mut values) = (Vec::new(), Vec::new());
+    for field in fields.split(',') {
+        let Some((name, value)) = field.split_once('=') else { continue };
+        let column = ReportColumn::from_name(name.trim());
+        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MAX_REPORT_VALUE).contains(v));
         if let (true, Some(value)) = (columns.contains(&column), value) {
-            used.push(column);
-            stats.push(value);
+            used_columns.push(column);
+            values.push(value);
         }
     }
-    (!used.is_empty()).then(|| report(&used, &stats))
+    (!used_columns.is_empty()).then(|| report_from_values(&used_columns, &values))
 }
 
-/// No figure of a load report is larger in earnest.
-const MOST: f64 = 1e6;
+/// Larger values in a load report are discarded as invalid.
+const MAX_REPORT_VALUE: f64 = 1e6;
--- a/src/state.rs
+++ b/src/state.rs
@@ -167,7 +167,7 @@
     /// By class.
     pub service: Vec<Service>,
     /// By kind of machine, and of all together.
-    pub kinds: BTreeMap<KindId, Kind>,
+    pub kinds: BTreeMap<MachineTypeId, Kind>,
     pub fleet: Kind,
     /// Share of the arrivals that no server had room for.
     pub refused: f64,
@@ -223,8 +223,8 @@
 pub(crate) struct Upstream {
     pub zone: ZoneId,
     pub cell: CellId,
-    pub kind: KindId,
-    pub spot: u64,
+    pub kind: MachineTypeId,
+    pub ring_position: u64,
     pub serving: bool,
     pub weight: f64,
     pub started: Option<Millis>,
@@ -314,15 +314,15 @@
 }
 
 impl Upstream {
-    pub fn new(entry: &Listing) -> Upstream {
+    pub fn new(entry: &UpstreamRecord) -> Upstream {
         Upstream {
             zone: entry.zone,
             cell: entry.cell,
-            kind: entry.kind,
-            spot: entry.spot,
+            kind: entry.machine_type,
+            ring_position: entry.ring_position,
             serving: entry.lifecycle == Lifecycle::Serving,
             weight: entry.weight,
-            started: entry.started,
+            started: entry.started_at,
             kappa: None,
             mean_in_flight: 0.0,
             others: 0.0,
@@ -341,24 +341,26 @@
     }
 
     /// Takes over what discovery says. A new life under the same id leaves nothing known but what is out.
-    pub fn relist(&mut self, entry: &Listing) {
-        if entry.started.is_some_and(|at| self.started.is_none_or(|known| at > known)) {
+    pub fn relist(&mut self, entry: &UpstreamRecord) {
+        if entry.started_at.is_some_and(|at| self.started.is_none_or(|known| at > known)) {
             let outstanding = std::mem::take(&mut self.outstanding);
             *self = Upstream { outstanding, ..Upstream::new(entry) };
         }
         self.zone = entry.zone;
         self.cell = entry.cell;
-        self.kind = entry.kind;
+        self.kind = entry.machine_type;
         self.serving = entry.lifecycle == Lifecycle::Serving;
         self.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
     }
 
     /// The share of its capacity that a server surely has: a line from the cold share to all of it.
-    pub fn warmth(&self, now: Millis, safety: &Safety) -> f64 {
+    pub fn warmth(&self, now: Millis, cold_start: &ColdStartLimits) -> f64 {
         match self.started {
-            Some(started) if now < started + safety.warm_up => {
+            Some(started) if now < started + cold_start.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.cold_share + (1.0 - safety.cold_share) * age / safety.warm_up).max(0.01)
+                (cold_start.initial_capacity_fraction
+                    + (1.0 - cold_start.initial_capacity_fraction) * age / cold_start.warm_up)
+                    .max(0.01)
             }
             _ => 1.0,
         }
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -51,15 +51,15 @@
                     assert!(seen.tries.iter().all(|t| t.outcome.is_some()), "two attempts out");
                     let first = seen.tries.iter().find(|t| t.outcome.is_none_or(Outcome::may_have_run));
                     if let Some(first) = first {
-                        match self.settings.classes[seen.class].effect {
-                            Effect::Repeatable => {}
-                            Effect::Once => panic!("may run twice"),
-                            Effect::ByKey { scope, window } => {
+                        match self.settings.classes[seen.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => panic!("may run twice"),
+                            Idempotency::Keyed { scope, window } => {
                                 assert!(self.now <= first.sent + window, "outside the window");
                                 match scope {
-                                    Scope::All => {}
-                                    Scope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
-                                    Scope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
+                                    DedupScope::All => {}
+                                    DedupScope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
+                                    DedupScope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
                                 }
                             }
                         }
@@ -73,8 +73,8 @@
                     let seen = self.requests.get_mut(request).expect("a known request");
                     assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
                     let ran = seen.tries.iter().any(|t| t.outcome.is_none_or(Outcome::may_have_run));
-                    match self.settings.classes[seen.class].effect {
-                        Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => {}
+                    match self.settings.classes[seen.class].idempotency {
+                        Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => {}
                         _ => assert!(!ran, "a refusal promises that it never ran"),
                     }
                 }
@@ -86,7 +86,7 @@
                 Action::Cancel { request, attempt } => {
                     assert!(self.requests[request].tries.len() > attempt.0 as usize);
                 }
-                Action::WakeAt { at, token } => {
+                Action::SetTimer { at, token } => {
                     assert!(at.is_finite());
                     self.wakes.push((*at, *token));
                 }
@@ -95,18 +95,18 @@
         }
     }
 
-    fn listing(&mut self) -> Listing {
+    fn listing(&mut self) -> UpstreamRecord {
         let id = 1 + self.pick(39) as u64;
-        let lifecycle = if self.pick(4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
+        let lifecycle = if self.pick(4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         let started = (self.pick(6) == 0).then_some(self.now);
         let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.pick(6)];
-        Listing { zone: ZoneId(id / 20), lifecycle, started, weight, ..listing(id) }
+        UpstreamRecord { zone: ZoneId(id / 20), lifecycle, started_at: started, weight, ..listing(id) }
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let absurd = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
         let (m, u) = (absurd[self.pick(8)], absurd[self.pick(8)]);
-        let report = Report { in_flight: Some(m), utilisation: Some(u), ..Report::default() };
+        let report = LoadReport { in_flight: Some(m), utilisation: Some(u), ..LoadReport::default() };
         (self.pick(5) > 0).then_some(report)
     }
 
@@ -121,7 +121,7 @@
             return self.end(request, at, Outcome::TimedOut);
         }
         if let Some(at) = self.wakes.iter().position(|(at, _)| *at <= now) {
-            return Event::Woke(self.wakes.remove(at).1);
+            return Event::TimerFired(self.wakes.remove(at).1);
         }
         let out: Vec<(RequestId, usize)> = self
             .requests
@@ -137,7 +137,7 @@
                 let request = RequestId(number);
                 let seen = Seen { class, deadline: now + time_left, tries: Vec::new(), ended: false };
                 self.requests.insert(request, seen);
-                Event::Arrived {
+                Event::RequestArrived {
                     request,
                     class: ClassId(class),
                     tenant: TenantId(self.pick(3)),
@@ -152,7 +152,7 @@
                     Outcome::Ok,
                     Outcome::Ok,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::Unreachable,
                     Outcome::Reset,
                     Outcome::Cancelled,
@@ -162,7 +162,7 @@
                 self.end(request, at, outcome)
             }
             7 => {
-                let list: Vec<Listing> = (0..self.pick(12)).map(|_| self.listing()).collect();
+                let list: Vec<UpstreamRecord> = (0..self.pick(12)).map(|_| self.listing()).collect();
                 let kind = self.pick(4);
                 if kind < 2 {
                     self.serving.values_mut().for_each(|serving| *serving = false);
@@ -172,11 +172,11 @@
                         self.serving.insert(entry.upstream, entry.lifecycle == Lifecycle::Serving);
                     }
                 }
-                Event::Listed(match kind {
-                    0 => ListNews::Complete(list),
-                    1 => ListNews::Restored(list),
-                    2 => ListNews::Changed(list),
-                    _ => ListNews::Unavailable,
+                Event::DiscoveryUpdated(match kind {
+                    0 => DiscoveryUpdate::Snapshot(list),
+                    1 => DiscoveryUpdate::Restored(list),
+                    2 => DiscoveryUpdate::Delta(list),
+                    _ => DiscoveryUpdate::Unavailable,
                 })
             }
             8 if !self.requests.is_empty() => {
@@ -186,24 +186,28 @@
                 if let Some(seen) = self.requests.get_mut(&request) {
                     seen.ended = true;
                 }
-                Event::Abandoned(request)
+                Event::RequestAbandoned(request)
             }
             _ => match self.probes.pop() {
                 Some(upstream) => {
                     let answered = self.pick(4) > 0;
-                    Event::Probed { upstream, answered, report: self.report() }
+                    Event::ProbeFinished { upstream, answered, report: self.report() }
                 }
                 // Things nobody asked for.
                 None => match self.pick(3) {
-                    0 => Event::Woke(number),
-                    1 => Event::Probed { upstream: UpstreamId(999), answered: true, report: self.report() },
-                    _ => Event::Finished(Finished {
+                    0 => Event::TimerFired(number),
+                    1 => Event::ProbeFinished {
+                        upstream: UpstreamId(999),
+                        answered: true,
+                        report: self.report(),
+                    },
+                    _ => Event::AttemptFinished(AttemptFinished {
                         request: RequestId(number),
                         attempt: AttemptNo(9),
                         upstream: UpstreamId(1),
                         outcome: Outcome::Ok,
                         latency: f64::NAN,
-                        closed: true,
+                        request_completed: true,
                         report: None,
                     }),
                 },
@@ -221,7 +225,15 @@
         this.outcome = Some(outcome);
         let (upstream, latency) = (this.upstream, now - this.sent);
         let attempt = AttemptNo(at as u32);
-        Event::Finished(Finished { request, attempt, upstream, outcome, latency, closed, report })
+        Event::AttemptFinished(AttemptFinished {
+            request,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_completed: closed,
+            report,
+        })
     }
 }
 
@@ -229,10 +241,10 @@
 fn rules_hold_for_any_order_of_events() {
     for seed in 0..60 {
         let mut settings = settings();
-        settings.limits.probes = seed % 3 > 0;
-        settings.crossing_fee = [0.0, 0.02, 0.2][seed as usize % 3];
+        settings.limits.allow_probes = seed % 3 > 0;
+        settings.zone_crossing_cost = [0.0, 0.02, 0.2][seed as usize % 3];
         if seed % 2 == 0 {
-            settings.discovery = Discovery::Subscribed { must_ask_in: 5_000.0 };
+            settings.discovery = DiscoveryMode::Subscribe { subscribe_within: 5_000.0 };
         }
         let start = if seed % 5 == 0 { 0.0 } else { 50_000.0 };
         let mut balancer = Balancer::new(settings.clone(), seed);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -137,10 +137,12 @@
     const SECONDS: f64 = 10.0;
     const PER_S: f64 = 200.0;
     let mut settings = settings();
-    settings.safety = Safety { cold_share: 0.05, warm_up: 1e9, ..settings.safety };
-    let allowed_per_s = settings.safety.fall_multiple * settings.safety.cold_share * PER_S / 20.0;
+    settings.cold_start =
+        ColdStartLimits { initial_capacity_fraction: 0.05, warm_up: 1e9, ..settings.cold_start };
+    let allowed_per_s =
+        settings.cold_start.overload_multiple * settings.cold_start.initial_capacity_fraction * PER_S / 20.0;
     // Two servers of one cell, one of them cold, and eighteen that have a cell each.
-    let cold = Listing { started: Some(1_000.0), ..listing(2) };
+    let cold = UpstreamRecord { started_at: Some(1_000.0), ..listing(2) };
     let others = (1..=18).map(|cell| listing(10 * cell));
     let mut stage = Stage::new(settings, [listing(1), cold].into_iter().chain(others).collect());
     let (mut unanswered, mut to_cold) = (0, 0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,54 +10,59 @@
 pub const BY_ZONE: ClassId = ClassId(3);
 pub const BY_ALL: ClassId = ClassId(4);
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
+pub fn class(effect: Idempotency) -> Class {
+    Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect }
 }
 
-pub fn keyed(scope: Scope) -> Class {
-    class(Effect::ByKey { scope, window: 300.0 })
+pub fn keyed(scope: DedupScope) -> Class {
+    class(Idempotency::Keyed { scope, window: 300.0 })
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            keyed(Scope::Cell),
-            class(Effect::Once),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            class(Idempotency::Idempotent),
+            keyed(DedupScope::Cell),
+            class(Idempotency::NonIdempotent),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::All),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_value_fraction: 1.0,
         zone: ZoneId(0),
-        sidecars: 2,
-        rank: Some(0),
-        crossing_fee: 0.0,
-        probe_fee: 0.0,
-        reports_in_answers: true,
+        sidecar_count: 2,
+        sidecar_index: Some(0),
+        zone_crossing_cost: 0.0,
+        probe_cost: 0.0,
+        reports_in_responses: true,
         limits: Limits {
             max_attempts: 4,
-            duplicates: false,
-            probes: true,
-            cancel: true,
+            allow_concurrent_attempts: false,
+            allow_probes: true,
+            allow_cancellation: true,
             max_retry_after: 400.0,
-            tick: 4.0,
+            min_event_interval: 4.0,
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
-        discovery: Discovery::Pushed,
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_duration: 2_000.0,
+        },
+        discovery: DiscoveryMode::Push,
     }
 }
 
-pub fn listing(id: u64) -> Listing {
-    Listing {
+pub fn listing(id: u64) -> UpstreamRecord {
+    UpstreamRecord {
         upstream: UpstreamId(id),
         zone: ZoneId(0),
         cell: CellId(id / 10),
-        spot: id,
-        kind: KindId(0),
+        ring_position: id,
+        machine_type: MachineTypeId(0),
         lifecycle: Lifecycle::Serving,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -69,13 +74,13 @@
 }
 
 impl Stage {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> Stage {
+    pub fn new(settings: Settings, servers: Vec<UpstreamRecord>) -> Stage {
         Stage::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
+    pub fn seeded(settings: Settings, servers: Vec<UpstreamRecord>, seed: u64) -> Stage {
         let mut stage = Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
-        stage.event(Event::Listed(ListNews::Restored(servers)));
+        stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(servers)));
         stage
     }
 
@@ -97,7 +102,8 @@
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
-        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, cost: None };
+        let event =
+            Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0, cost: None };
         (request, self.event(event))
     }
 
@@ -109,13 +115,13 @@
         outcome: Outcome,
         latency: Millis,
     ) -> Vec<Action> {
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt: AttemptNo(attempt),
             upstream,
             outcome,
             latency,
-            closed: outcome == Outcome::Ok,
+            request_completed: outcome == Outcome::Ok,
             report: None,
         }))
     }
@@ -126,9 +132,12 @@
 
     /// The same, with what was done upon it.
     pub fn probed(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
-        let report =
-            Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
-        self.event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) })
+        let report = LoadReport {
+            in_flight: Some(in_flight),
+            utilisation: Some(utilisation),
+            ..LoadReport::default()
+        };
+        self.event(Event::ProbeFinished { upstream: UpstreamId(id), answered: true, report: Some(report) })
     }
 }
 
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -12,12 +12,12 @@
 
 use common::{Stage, listing, sent_to, settings};
 use loopback::*;
-use sagemast::api::{Action, AttemptNo, ClassId, Event, Finished, Limits, ListNews, Outcome};
+use sagemast::api::{Action, AttemptFinished, AttemptNo, ClassId, DiscoveryUpdate, Event, Limits, Outcome};
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::Unreachable,
     Outcome::Reset,
@@ -37,30 +37,32 @@
         actions = stage.finish(request, attempt, to, first, 20.0);
     }
     let out = sent_to(&actions);
-    let mut after = stage.event(Event::Abandoned(request));
+    let mut after = stage.event(Event::RequestAbandoned(request));
     if let Some(upstream) = out {
         for closed in [false, true] {
-            after.extend(stage.event(Event::Finished(Finished {
+            after.extend(stage.event(Event::AttemptFinished(AttemptFinished {
                 request,
                 attempt: AttemptNo(ended),
                 upstream,
                 outcome: last,
                 latency: 20.0,
-                closed,
+                request_completed: closed,
                 report: None,
             })));
         }
     }
     // What might bring up something that was held back: a second word of it, time, timers, news, reports.
-    after.extend(stage.event(Event::Abandoned(request)));
+    after.extend(stage.event(Event::RequestAbandoned(request)));
     for token in 0..8 {
         stage.now += 50.0;
-        after.extend(stage.event(Event::Woke(token)));
+        after.extend(stage.event(Event::TimerFired(token)));
         after.extend(stage.probed(1, 0.0, 0.1));
     }
-    after.extend(stage.event(Event::Listed(ListNews::Complete([5, 6, 7].map(listing).to_vec()))));
+    after.extend(
+        stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot([5, 6, 7].map(listing).to_vec()))),
+    );
     let cancel = Action::Cancel { request, attempt: AttemptNo(ended) };
-    let owed: Vec<Action> = out.filter(|_| limits.cancel).map(|_| cancel).into_iter().collect();
+    let owed: Vec<Action> = out.filter(|_| limits.allow_cancellation).map(|_| cancel).into_iter().collect();
     after.retain(|action| !matches!(action, Action::Probe(_) | Action::Log(_)));
     assert_eq!(after, owed, "{class:?}, {ended} ended with {first:?}, then {last:?}");
 }
@@ -73,7 +75,11 @@
             for (ended, cancel, duplicates) in
                 (0..3).flat_map(|ended| [(ended, true, false), (ended, false, true)])
             {
-                let limits = Limits { cancel, duplicates, ..settings().limits };
+                let limits = Limits {
+                    allow_cancellation: cancel,
+                    allow_concurrent_attempts: duplicates,
+                    ..settings().limits
+                };
                 abandoned_after(ended, class, first, last, &limits);
             }
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,13 +10,15 @@
 const SERVERS: u64 = 60;
 
 /// Servers of three zones; neighbours by id are of different ones.
-fn servers(count: u64) -> Vec<Listing> {
-    let spot = |id: u64| id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    (1..=count).map(|id| Listing { zone: ZoneId(id % 3), spot: spot(id), ..listing(id) }).collect()
+fn servers(count: u64) -> Vec<UpstreamRecord> {
+    let ring_position = |id: u64| id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    (1..=count)
+        .map(|id| UpstreamRecord { zone: ZoneId(id % 3), ring_position: ring_position(id), ..listing(id) })
+        .collect()
 }
 
 fn sidecar(rank: u32, sidecars: u32, count: u64) -> Stage {
-    let settings = Settings { sidecars, rank: Some(rank), ..settings() };
+    let settings = Settings { sidecar_count: sidecars, sidecar_index: Some(rank), ..settings() };
     Stage::seeded(settings, servers(count), u64::from(rank))
 }
 
@@ -53,7 +55,8 @@
 fn a_small_fleet_and_a_busy_sidecar_draw_over_all() {
     assert_eq!(sent(&mut sidecar(1, 4, 14), 400, 70.0, &[]).len(), 14);
     assert_eq!(sent(&mut sidecar(1, 100, SERVERS), 4_000, 10.0, &[]).len() as u64, SERVERS);
-    let mut untold = Stage::new(Settings { sidecars: 100, rank: None, ..settings() }, servers(SERVERS));
+    let mut untold =
+        Stage::new(Settings { sidecar_count: 100, sidecar_index: None, ..settings() }, servers(SERVERS));
     assert_eq!(sent(&mut untold, 2_000, 70.0, &[]).len() as u64, SERVERS, "its number is not known");
 }
 
@@ -66,8 +69,8 @@
     let healthy = |sends: &BTreeMap<u64, usize>| sends.keys().filter(|id| !failing.contains(id)).count();
     let after = sent(&mut stage, 200, 70.0, failing);
     assert!(healthy(&after) >= 12, "{before:?}, then {after:?}");
-    let leaving = |id: &u64| Listing { lifecycle: Lifecycle::Leaving, ..listing(*id) };
-    stage.event(Event::Listed(ListNews::Changed(before.iter().map(leaving).collect())));
+    let leaving = |id: &u64| UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(*id) };
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(before.iter().map(leaving).collect())));
     let renewed: BTreeSet<u64> = sent(&mut stage, 400, 70.0, &[]).into_keys().collect();
     assert!(renewed.len() >= 12 && before.iter().all(|id| !renewed.contains(id)), "{renewed:?}");
 }
@@ -76,8 +79,14 @@
 /// hundred did: half of all connections were the probes', and the servers answered one probe in three.
 #[test]
 fn probes_stay_within_what_their_price_allows() {
-    let asked = |probe_fee: f64, reports_in_answers: bool| {
-        let settings = Settings { sidecars: 100, rank: Some(3), probe_fee, reports_in_answers, ..settings() };
+    let asked = |probe_cost: f64, reports_in_responses: bool| {
+        let settings = Settings {
+            sidecar_count: 100,
+            sidecar_index: Some(3),
+            probe_cost,
+            reports_in_responses,
+            ..settings()
+        };
         let mut stage = Stage::new(settings, servers(SERVERS));
         let mut probes = 0;
         for _ in 0..500 {
@@ -99,8 +108,11 @@
 /// of the others: refused by chance, clients came back at once, more was refused, and less was let through still.
 #[test]
 fn cold_servers_do_not_get_requests_refused_that_others_have_room_for() {
-    let settings = Settings { probe_fee: 0.08, ..settings() };
-    let cold = |entry: Listing| Listing { started: (entry.upstream.0 > 4).then_some(1_000.0), ..entry };
+    let settings = Settings { probe_cost: 0.08, ..settings() };
+    let cold = |entry: UpstreamRecord| UpstreamRecord {
+        started_at: (entry.upstream.0 > 4).then_some(1_000.0),
+        ..entry
+    };
     let mut stage = Stage::new(settings, servers(16).into_iter().map(cold).collect());
     let (mut to_cold, mut sends) = (0, 0);
     for _ in 0..600 {
@@ -129,7 +141,7 @@
         let (request, actions) = stage.arrive(ONCE);
         let (mut next, mut attempt) = (sent_to(&actions), 0);
         while let Some(to) = next {
-            next = sent_to(&stage.finish(request, attempt, to, Outcome::Full, 1.0));
+            next = sent_to(&stage.finish(request, attempt, to, Outcome::Rejected, 1.0));
             attempt += 1;
         }
     }
--- a/tests/fleet_stage/mod.rs
+++ b/tests/fleet_stage/mod.rs
@@ -20,10 +20,10 @@
 /// Modules hear of new servers this much later, and then one after another within the second span.
 const NOTICE: [Millis; 2] = [300.0, 120.0];
 /// Work, time to the aim, deadline and share of each class; work relative to the mean request's.
-const CLASSES: [(f64, Millis, Millis, f64, Effect); 3] = [
-    (0.7, 750.0, 1_500.0, 0.51, Effect::Repeatable),
-    (1.2, 1_200.0, 4_000.0, 0.26, Effect::Once),
-    (1.43, 800.0, 1_500.0, 0.23, Effect::ByKey { scope: Scope::Cell, window: 1_000.0 }),
+const CLASSES: [(f64, Millis, Millis, f64, Idempotency); 3] = [
+    (0.7, 750.0, 1_500.0, 0.51, Idempotency::Idempotent),
+    (1.2, 1_200.0, 4_000.0, 0.26, Idempotency::NonIdempotent),
+    (1.43, 800.0, 1_500.0, 0.23, Idempotency::Keyed { scope: DedupScope::Cell, window: 1_000.0 }),
 ];
 
 /// What is played.
@@ -60,7 +60,7 @@
     pub reports: bool,
     pub until: Millis,
     pub seed: u64,
-    pub safety: Safety,
+    pub cold_start: ColdStartLimits,
 }
 
 impl Plan {
@@ -84,45 +84,60 @@
             reports: true,
             until: START + 10_000.0,
             seed,
-            safety: Safety { cold_share: 0.36, warm_up: 8_600.0, fall_multiple: 3.0, fall: 3_000.0 },
+            cold_start: ColdStartLimits {
+                initial_capacity_fraction: 0.36,
+                warm_up: 8_600.0,
+                overload_multiple: 3.0,
+                overload_duration: 3_000.0,
+            },
         }
     }
 
     fn settings(&self, rank: usize) -> Settings {
-        let class =
-            |&(_, aim, _, _, effect): &_| Class { aim: aim * self.aims, worth: 1.0, late_worth: 0.3, effect };
+        let class = |&(_, aim, _, _, effect): &_| Class {
+            latency_target: aim * self.aims,
+            value: 1.0,
+            late_value_fraction: 0.3,
+            idempotency: effect,
+        };
         Settings {
             classes: CLASSES.iter().map(class).collect(),
             tenants: Vec::new(),
-            over_quota_worth: 1.0,
+            over_quota_value_fraction: 1.0,
             zone: ZoneId(rank as u64 % 3),
-            sidecars: self.modules as u32,
-            rank: self.ranked.then_some(rank as u32),
-            crossing_fee: 0.03,
-            probe_fee: 0.01,
-            reports_in_answers: true,
+            sidecar_count: self.modules as u32,
+            sidecar_index: self.ranked.then_some(rank as u32),
+            zone_crossing_cost: 0.03,
+            probe_cost: 0.01,
+            reports_in_responses: true,
             limits: Limits {
                 max_attempts: 3,
-                duplicates: true,
-                probes: true,
-                cancel: true,
+                allow_concurrent_attempts: true,
+                allow_probes: true,
+                allow_cancellation: true,
                 max_retry_after: 2_000.0,
-                tick: 5.0,
+                min_event_interval: 5.0,
             },
-            safety: self.safety.clone(),
-            discovery: Discovery::Pushed,
+            cold_start: self.cold_start.clone(),
+            discovery: DiscoveryMode::Push,
         }
     }
 
     /// The present capacity of a server that started at [`START`], of 1.
     fn warmth(&self, now: Millis) -> f64 {
-        let Safety { cold_share, warm_up, .. } = self.safety;
-        (cold_share + (1.0 - cold_share) * (now - START).max(0.0) / warm_up).min(1.0)
+        let ColdStartLimits { initial_capacity_fraction, warm_up, .. } = self.cold_start;
+        (initial_capacity_fraction + (1.0 - initial_capacity_fraction) * (now - START).max(0.0) / warm_up)
+            .min(1.0)
     }
 
     /// What the settings allow a cold server in the window that begins then, in requests of mean work.
     pub fn budget(&self, from: Millis, size: f64) -> f64 {
-        self.safety.fall_multiple * self.warmth(from) * self.per_s * size * self.safety.fall / 1_000.0
+        self.cold_start.overload_multiple
+            * self.warmth(from)
+            * self.per_s
+            * size
+            * self.cold_start.overload_duration
+            / 1_000.0
     }
 }
 
@@ -157,9 +172,9 @@
     /// Over every window that begins while servers are cold. The one that ends with a send is the strictest of
     /// those which have that send as their last: it has no fewer sends, and its budget is the smallest.
     pub fn used(&self, plan: &Plan) -> Used {
-        let fall = plan.safety.fall;
+        let fall = plan.cold_start.overload_duration;
         let mut used = Used { most: 0.0, mean: 0.0, brink: 0.0, first: 0.0 };
-        let windows = ((plan.safety.warm_up - fall) / 100.0) as usize;
+        let windows = ((plan.cold_start.warm_up - fall) / 100.0) as usize;
         for (size, sends) in self.cold.values() {
             let mut from = 0;
             for (last, &at) in sends.iter().enumerate() {
@@ -167,7 +182,7 @@
                     from += 1;
                 }
                 let begin = (at - fall).max(START);
-                if begin > START + plan.safety.warm_up {
+                if begin > START + plan.cold_start.warm_up {
                     break;
                 }
                 let (count, budget) = ((last - from + 1) as f64, plan.budget(begin, *size));
@@ -208,7 +223,7 @@
 }
 
 struct Server {
-    listing: Listing,
+    listing: UpstreamRecord,
     size: f64,
     cold: bool,
     cores: usize,
@@ -221,7 +236,7 @@
     every: Millis,
     late: Millis,
     next_report: Millis,
-    reports: VecDeque<(Millis, Report)>,
+    reports: VecDeque<(Millis, LoadReport)>,
 }
 
 impl Server {
@@ -230,10 +245,10 @@
         while self.next_report <= now {
             let at = self.next_report;
             self.average(at);
-            let report = Report {
+            let report = LoadReport {
                 in_flight: Some((self.working + self.queue.len()) as f64),
                 utilisation: Some(self.utilisation),
-                ..Report::default()
+                ..LoadReport::default()
             };
             self.reports.push_back((at, report));
             self.next_report += self.every;
@@ -250,7 +265,7 @@
         self.touched = now;
     }
 
-    fn report(&self, now: Millis) -> Option<Report> {
+    fn report(&self, now: Millis) -> Option<LoadReport> {
         self.reports
             .front()
             .filter(|(at, _)| self.reports_made && at + self.late <= now)
@@ -273,8 +288,8 @@
     Arrival,
     Join { server: u64, job: Job },
     Done { server: u64, job: Job },
-    Outcome { key: (RequestId, AttemptNo), outcome: Outcome, report: Option<Report> },
-    Probed { server: u64, report: Option<Report> },
+    Outcome { key: (RequestId, AttemptNo), outcome: Outcome, report: Option<LoadReport> },
+    Probed { server: u64, report: Option<LoadReport> },
     Woken { token: u64 },
     News,
     Restart,
@@ -345,7 +360,7 @@
                 held: BTreeMap::new(),
             });
             let list = self.list(false);
-            self.tell(module, Event::Listed(ListNews::Complete(list)));
+            self.tell(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             self.arrive_next(module);
             let heard = START + NOTICE[0] + NOTICE[1] * self.rng.rand_float();
             if plan.cold > 0 {
@@ -381,15 +396,15 @@
     fn add(&mut self, place: u64, cold: bool) {
         let id = if cold { NEW + place } else { place };
         let size = [1.0, self.plan.spread, 1.0 / self.plan.spread][place as usize / 3 % 3];
-        let listing = Listing {
+        let listing = UpstreamRecord {
             upstream: UpstreamId(id),
             zone: ZoneId(place % 3),
             cell: CellId(self.cell(place)),
-            spot: (id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            kind: KindId(place / 3 % 3),
+            ring_position: (id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            machine_type: MachineTypeId(place / 3 % 3),
             lifecycle: Lifecycle::Serving,
             weight: 1.0,
-            started: cold.then_some(START),
+            started_at: cold.then_some(START),
         };
         let (every, late) = (320.0 + 1_180.0 * self.rng.rand_float(), 53.0 + 377.0 * self.rng.rand_float());
         let server = Server {
@@ -411,7 +426,7 @@
     }
 
     /// The whole list, before or after some were replaced.
-    fn list(&mut self, renewed: bool) -> Vec<Listing> {
+    fn list(&mut self, renewed: bool) -> Vec<UpstreamRecord> {
         let new = if renewed { self.replaced() } else { Vec::new() };
         for &place in &new {
             if !self.servers.contains_key(&(NEW + place)) {
@@ -444,12 +459,12 @@
             Due::Outcome { key, outcome, report } if !gone => self.outcome(module, key, outcome, report),
             Due::Probed { server, report } if !gone => {
                 let upstream = UpstreamId(server);
-                self.tell(module, Event::Probed { upstream, answered: report.is_some(), report });
+                self.tell(module, Event::ProbeFinished { upstream, answered: report.is_some(), report });
             }
-            Due::Woken { token } if !gone => self.tell(module, Event::Woke(token)),
+            Due::Woken { token } if !gone => self.tell(module, Event::TimerFired(token)),
             Due::News => {
                 let list = self.list(true);
-                self.tell(module, Event::Listed(ListNews::Complete(list)));
+                self.tell(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             }
             Due::Restart => {
                 let seed = self.plan.seed.wrapping_mul(1_000) + (self.plan.modules + module) as u64;
@@ -459,8 +474,8 @@
                 this.out.clear();
                 this.held.clear();
                 let list = self.list(true);
-                self.tell(module, Event::Listed(ListNews::Restored(list.clone())));
-                self.tell(module, Event::Listed(ListNews::Complete(list)));
+                self.tell(module, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(list.clone())));
+                self.tell(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             }
             Due::Outcome { .. } | Due::Probed { .. } | Due::Woken { .. } => {}
         }
@@ -486,7 +501,7 @@
         let request = RequestId(self.next as u64);
         self.modules[module].held.insert(request, (class, self.now, work, 0));
         self.played.arrived += usize::from(self.cold_now());
-        let event = Event::Arrived {
+        let event = Event::RequestArrived {
             request,
             class: ClassId(class),
             tenant: TenantId(0),
@@ -497,7 +512,7 @@
     }
 
     fn cold_now(&self) -> bool {
-        (START..START + self.plan.safety.warm_up).contains(&self.now)
+        (START..START + self.plan.cold_start.warm_up).contains(&self.now)
     }
 
     /// Hands an event to a module and does what it asks for.
@@ -527,7 +542,7 @@
                     let (server, report) = (upstream.0, server.report(self.now));
                     self.at(self.now + 2.0 * NET, module, Due::Probed { server, report });
                 }
-                Action::WakeAt { at, token } => self.at(at, module, Due::Woken { token }),
+                Action::SetTimer { at, token } => self.at(at, module, Due::Woken { token }),
                 Action::Subscribe | Action::Log(_) => {}
             }
         }
@@ -559,7 +574,7 @@
         this.touch(now);
         if this.working == this.cores && this.queue.len() >= QUEUE {
             let report = this.report(now);
-            return self.answer(job, Outcome::Full, report);
+            return self.answer(job, Outcome::Rejected, report);
         }
         this.queue.push_back(job);
         self.work(server);
@@ -592,7 +607,7 @@
         self.answer(job, if errs { Outcome::Error } else { Outcome::Ok }, report);
     }
 
-    fn answer(&mut self, job: Job, outcome: Outcome, report: Option<Report>) {
+    fn answer(&mut self, job: Job, outcome: Outcome, report: Option<LoadReport>) {
         let key = (job.request, job.attempt);
         if self.modules[job.module].life == job.life {
             self.at(self.now + NET, job.module, Due::Outcome { key, outcome, report });
@@ -605,7 +620,7 @@
         module: usize,
         (request, attempt): (RequestId, AttemptNo),
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let this = &mut self.modules[module];
         let Some((server, sent)) = this.out.remove(&(request, attempt)) else { return };
@@ -616,7 +631,15 @@
             self.modules[module].held.remove(&request);
         }
         let (upstream, latency) = (UpstreamId(server), self.now - sent);
-        let end = Finished { request, attempt, upstream, outcome, latency, closed, report };
-        self.tell(module, Event::Finished(end));
+        let end = AttemptFinished {
+            request,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_completed: closed,
+            report,
+        };
+        self.tell(module, Event::AttemptFinished(end));
     }
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -123,7 +123,7 @@
     assert!(hung <= 5, "{hung} of 160 went to a server that answers nothing");
 }
 
-/// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
+/// "Rejected" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
 #[test]
 fn full_is_not_a_failure() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
@@ -134,7 +134,7 @@
         for attempt in 0.. {
             assert!(actions.iter().all(|action| !matches!(action, Action::Log(_))), "ejected for being full");
             let Some(to) = sent_to(&actions) else { break };
-            let outcome = if to.0 == 1 { Outcome::Full } else { Outcome::Ok };
+            let outcome = if to.0 == 1 { Outcome::Rejected } else { Outcome::Ok };
             actions = stage.finish(request, attempt, to, outcome, 1.0);
         }
     }
@@ -179,10 +179,10 @@
 #[test]
 fn the_least_worth_is_refused_first() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].worth = 0.2;
-    settings.classes[BY_ALL.0].worth = 4.0;
+    settings.classes[REPEATABLE.0].value = 0.2;
+    settings.classes[BY_ALL.0].value = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
-    settings.over_quota_worth = 0.05;
+    settings.over_quota_value_fraction = 0.05;
     let mut refusals = std::collections::BTreeMap::new();
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 4.0, 1.0);
@@ -196,12 +196,13 @@
         let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
-        let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0, cost: None });
+        let actions =
+            stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0, cost: None });
         let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
         if let Some(to) = sent_to(&actions) {
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::RequestAbandoned(request));
             stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
@@ -243,7 +244,7 @@
 #[test]
 fn room_shrinks_while_answers_are_late() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 400.0;
+    settings.classes[REPEATABLE.0].latency_target = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
     let accepted = |late: bool| {
         let mut stage = Stage::new(settings.clone(), ids.iter().copied().map(listing).collect());
@@ -288,15 +289,15 @@
 #[test]
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
-    settings.safety.warm_up = 100_000.0;
+    settings.cold_start.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
             started = stage.now;
-            let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            let entry = UpstreamRecord { started_at: Some(stage.now), ..listing(2) };
+            stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![entry])));
         }
         stage.now += 100.0;
         stage.report(1, if round < 40 { 0.8 } else { 7.5 }, 0.05);
@@ -394,7 +395,7 @@
             // Nobody answers probes, and whoever is asked is full.
             while let Some(upstream) = to {
                 last = stage.now;
-                let actions = stage.finish(request, attempt, upstream, Outcome::Full, 5.0);
+                let actions = stage.finish(request, attempt, upstream, Outcome::Rejected, 5.0);
                 (to, attempt) = (sent_to(&actions), attempt + 1);
             }
             assert!(stage.now - last < 4_000.0, "one request every {gap} ms");
@@ -512,7 +513,7 @@
         }
         accepted
     };
-    let (usual, jammed) = (accepted_after(Outcome::Ok), accepted_after(Outcome::Full));
+    let (usual, jammed) = (accepted_after(Outcome::Ok), accepted_after(Outcome::Rejected));
     assert!(usual >= 15 && jammed * 2 < usual, "{jammed} after full, {usual} after served");
 }
 
@@ -532,7 +533,7 @@
             stage.now += 10.0;
             let full = to.0 == 1;
             to_full += usize::from(full);
-            let outcome = if full { Outcome::Full } else { Outcome::Ok };
+            let outcome = if full { Outcome::Rejected } else { Outcome::Ok };
             next = sent_to(&stage.finish(request, attempt, to, outcome, 10.0));
             attempt += 1;
         }
--- a/tests/hollow.rs
+++ b/tests/hollow.rs
@@ -6,13 +6,13 @@
 mod stage;
 
 use figures::Report;
-use sagemast::api::{Discovery, Safety};
+use sagemast::api::{ColdStartLimits, DiscoveryMode};
 use stage::{Plan, Stage, Trouble};
 
-const ASKED: Discovery = Discovery::Subscribed { must_ask_in: 2_000.0 };
+const ASKED: DiscoveryMode = DiscoveryMode::Subscribe { subscribe_within: 2_000.0 };
 
 /// Forty sidecars on forty servers of four services, of which each lists two.
-fn plan(discovery: Discovery, trouble: Trouble) -> Plan {
+fn plan(discovery: DiscoveryMode, trouble: Trouble) -> Plan {
     Plan {
         name: "small".to_owned(),
         seed: 11,
@@ -30,7 +30,12 @@
         discovery,
         shared_versions: true,
         history: 1_024,
-        safety: Safety { cold_share: 0.16, warm_up: 21_000.0, fall_multiple: 2.5, fall: 1_500.0 },
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.16,
+            warm_up: 21_000.0,
+            overload_multiple: 2.5,
+            overload_duration: 1_500.0,
+        },
         starts_told: true,
         drain_grace: 2_000.0,
         trouble,
@@ -60,7 +65,7 @@
 
 #[test]
 fn every_request_gets_one_answer_and_every_change_is_in_force_in_the_end() {
-    for discovery in [Discovery::Pushed, ASKED] {
+    for discovery in [DiscoveryMode::Push, ASKED] {
         for trouble in TROUBLES {
             let report = play(plan(discovery, trouble));
             check(&report, &format!("{discovery:?}, {trouble:?}"));
@@ -102,7 +107,7 @@
         requests_per_s: 3_480.0,
         changes: 0,
         starts_told,
-        ..plan(Discovery::Pushed, Trouble::Zone { at: 2_500, back: 12_000 })
+        ..plan(DiscoveryMode::Push, Trouble::Zone { at: 2_500, back: 12_000 })
     };
     let name = "the same, of what makes it fall: last";
     let (told, untold) = (play(plan(true)).get(name), play(plan(false)).get(name));
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -20,54 +20,56 @@
 const CALL: Millis = 2_500.0;
 
 /// A module that asks, with this seed, after it was told a list once.
-fn asking(must_ask_in: Millis, seed: u64) -> Stage {
-    let settings = Settings { discovery: Discovery::Subscribed { must_ask_in }, ..common::settings() };
+fn asking(subscribe_within: Millis, seed: u64) -> Stage {
+    let settings =
+        Settings { discovery: DiscoveryMode::Subscribe { subscribe_within }, ..common::settings() };
     let mut stage = Stage::seeded(settings, vec![listing(1)], seed);
-    stage.event(Event::Woke(0));
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(1)])));
+    stage.event(Event::TimerFired(0));
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![listing(1)])));
     stage
 }
 
 /// A call has failed: how long the module waits before the next.
 fn wait(stage: &mut Stage) -> Millis {
-    let actions = stage.event(Event::Listed(ListNews::Unavailable));
+    let actions = stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
     let at = actions.iter().find_map(|action| match action {
-        Action::WakeAt { at, token: 0 } => Some(*at),
+        Action::SetTimer { at, token: 0 } => Some(*at),
         _ => None,
     });
     let waited = at.expect("it asks again") - stage.now;
     stage.now += waited;
-    assert!(stage.event(Event::Woke(0)).contains(&Action::Subscribe));
+    assert!(stage.event(Event::TimerFired(0)).contains(&Action::Subscribe));
     waited
 }
 
 /// Discovery can be reached from the moment in which a call began that hangs nevertheless; the next one is refused.
 #[test]
 fn a_call_that_hangs_and_one_that_is_refused_leave_time_for_a_third() {
-    for must_ask_in in [300.0, 2_000.0, 10_000.0, 600_000.0] {
+    for subscribe_within in [300.0, 2_000.0, 10_000.0, 600_000.0] {
         for seed in 0..500 {
-            let mut stage = asking(must_ask_in, seed);
+            let mut stage = asking(subscribe_within, seed);
             // Each has failed before, more or less often.
             for _ in 0..seed % 6 {
                 wait(&mut stage);
             }
             stage.now += CALL;
             let sum = CALL + wait(&mut stage) + wait(&mut stage);
-            assert!(sum < TOLD - 400.0, "must ask in {must_ask_in}, seed {seed}: {sum}");
+            assert!(sum < TOLD - 400.0, "must ask in {subscribe_within}, seed {seed}: {sum}");
         }
     }
 }
 
 #[test]
 fn it_backs_off_as_far_as_that_leaves_time() {
-    for (must_ask_in, spans) in [(400.0, [200.0, 400.0, 400.0]), (2_000.0, [1_000.0, 1_500.0, 1_500.0])] {
+    for (subscribe_within, spans) in [(400.0, [200.0, 400.0, 400.0]), (2_000.0, [1_000.0, 1_500.0, 1_500.0])]
+    {
         let mut longest = [0.0_f64; 3];
         for seed in 0..300 {
-            let mut stage = asking(must_ask_in, seed);
+            let mut stage = asking(subscribe_within, seed);
             longest.iter_mut().for_each(|longest| *longest = longest.max(wait(&mut stage)));
         }
         let spread = longest.iter().zip(spans).all(|(wait, span)| (0.9 * span..span).contains(wait));
-        assert!(spread, "must ask in {must_ask_in}: {longest:?}");
+        assert!(spread, "must ask in {subscribe_within}: {longest:?}");
     }
 }
 
@@ -161,10 +163,10 @@
 fn a_change_is_in_force_in_time_whatever_discovery_did_before() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Deed::ok("served")));
     let news = list(9, true, &[entry("b", b.address, "ready")]);
-    let asked = |must_ask_in: &str| {
+    let asked = |subscribe_within: &str| {
         SETTINGS
             .replace("automatic", "subscribe")
-            .replace(r#""must_ask_in":400.0"#, &format!(r#""must_ask_in":{must_ask_in}"#))
+            .replace(r#""must_ask_in":400.0"#, &format!(r#""must_ask_in":{subscribe_within}"#))
             .replace(r#""drain_grace":2000.0"#, r#""drain_grace":5000.0"#)
     };
     let modes = [SETTINGS.to_owned(), asked("400.0"), asked("10000.0"), asked("60000.0")];
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -66,7 +66,7 @@
         stage.report(2, 8.0, 1.0);
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
-        stage.event(Event::Abandoned(request));
+        stage.event(Event::RequestAbandoned(request));
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
     for _ in 0..10 {
@@ -82,7 +82,7 @@
 #[test]
 fn a_report_below_our_own_outstanding_is_not_believed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
+    settings.classes[REPEATABLE.0].latency_target = 450.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.report(1, 2.0, 1.0);
     stage.report(2, 2.0, 1.0);
@@ -126,9 +126,9 @@
         let mut balancer = Balancer::new(settings(), seed);
         let mut all = Vec::new();
         let list = (1..=6).map(listing).collect();
-        balancer.handle(0.0, Event::Listed(ListNews::Restored(list)), &mut all);
+        balancer.handle(0.0, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(list)), &mut all);
         for id in 0..300 {
-            let event = Event::Arrived {
+            let event = Event::RequestArrived {
                 request: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: TenantId(0),
@@ -146,8 +146,8 @@
 #[test]
 fn near_servers_are_kept_to_while_they_have_room() {
     let mut settings = settings();
-    settings.crossing_fee = 0.1;
-    let servers = (1..=6).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
+    settings.zone_crossing_cost = 0.1;
+    let servers = (1..=6).map(|id| UpstreamRecord { zone: ZoneId(id % 2), ..listing(id) }).collect();
     let mut stage = Stage::new(settings, servers);
     stage.settle(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
     let mut far = 0;
@@ -184,7 +184,7 @@
 #[test]
 fn late_reports_are_not_followed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
+    settings.classes[REPEATABLE.0].latency_target = 450.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2), listing(3)]);
     stage.settle(&[1, 2, 3], 4.0, 0.9);
     let mut sends = BTreeMap::new();
@@ -225,9 +225,10 @@
 /// size or pace, and once took them all for alike; what it hears of a kind stands in for the others of that kind.
 #[test]
 fn a_server_not_heard_from_takes_after_its_kind() {
-    let kind_of = |id: u64| KindId(id % 2);
-    let sends_to_unheard = |kind: KindId| {
-        let servers = (1..=12).map(|id| Listing { kind: kind_of(id), ..listing(id) }).collect();
+    let kind_of = |id: u64| MachineTypeId(id % 2);
+    let sends_to_unheard = |kind: MachineTypeId| {
+        let servers =
+            (1..=12).map(|id| UpstreamRecord { machine_type: kind_of(id), ..listing(id) }).collect();
         let mut stage = Stage::new(settings(), servers);
         // Of the servers heard from, the odd ones hold four times as much at the same utilisation.
         stage.settle(&[1, 3], 4.0, 0.5);
@@ -243,7 +244,7 @@
         }
         sends
     };
-    let (large, small) = (sends_to_unheard(KindId(1)), sends_to_unheard(KindId(0)));
+    let (large, small) = (sends_to_unheard(MachineTypeId(1)), sends_to_unheard(MachineTypeId(0)));
     assert!(large > 2 * small, "{large} to the large kind, {small} to the small one");
 }
 
@@ -260,7 +261,7 @@
         assert!(actions.contains(&Action::Probe(UpstreamId(id))), "and {id} is asked");
     }
     assert!(
-        !actions.iter().any(|action| matches!(action, Action::WakeAt { .. })),
+        !actions.iter().any(|action| matches!(action, Action::SetTimer { .. })),
         "nothing waits for a timer"
     );
 }
@@ -283,14 +284,14 @@
     stage.settle(&[1], 6.0, 0.75);
     stage.settle(&[2], 2.0, 0.25);
     stage.settle(&[1], 6.0, 0.75);
-    stage.event(Event::Finished(Finished {
+    stage.event(Event::AttemptFinished(AttemptFinished {
         request: on_the_first,
         attempt: AttemptNo(0),
         upstream: UpstreamId(1),
         outcome: Outcome::Ok,
         latency: 20.0,
-        closed: true,
-        report: Some(Report { in_flight: Some(0.0), utilisation: Some(0.75), ..Report::default() }),
+        request_completed: true,
+        report: Some(LoadReport { in_flight: Some(0.0), utilisation: Some(0.75), ..LoadReport::default() }),
     }));
     stage.report(2, 2.0, 0.25);
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(2)), "the others still have six there");
@@ -301,7 +302,7 @@
 #[test]
 fn servers_that_answers_tell_of_are_not_probed() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    let report = Report { in_flight: Some(1.0), utilisation: Some(0.3), ..Report::default() };
+    let report = LoadReport { in_flight: Some(1.0), utilisation: Some(0.3), ..LoadReport::default() };
     let mut probes = 0;
     for round in 0..200 {
         stage.now += 100.0;
@@ -309,13 +310,13 @@
         let to = sent_to(&actions).expect("there is room");
         let asked = actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         probes += if round < 20 { 0 } else { asked };
-        stage.event(Event::Finished(Finished {
+        stage.event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt: AttemptNo(0),
             upstream: to,
             outcome: Outcome::Ok,
             latency: 20.0,
-            closed: true,
+            request_completed: true,
             report: Some(report),
         }));
     }
@@ -331,7 +332,7 @@
         let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
         stage.settle(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
-        stage.event(Event::Arrived { request, class: REPEATABLE, tenant, time_left: 40.0, cost: None })
+        stage.event(Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 40.0, cost: None })
     };
     assert!(sent_to(&place(1.0)).is_some());
     assert!(refused(&place(3.0)), "behind a queue it would be late");
@@ -346,7 +347,8 @@
     let mut timeout = |id: u64, cost: f64| {
         let request = RequestId(10_000 + id);
         let tenant = TenantId(0);
-        let event = Event::Arrived { request, class: REPEATABLE, tenant, time_left: 500.0, cost: Some(cost) };
+        let event =
+            Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 500.0, cost: Some(cost) };
         let actions = stage.event(event);
         let sent = actions.iter().find_map(|action| match action {
             Action::Send { upstream, timeout, .. } => Some((*upstream, *timeout)),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,9 +5,11 @@
 use common::*;
 use sagemast::api::*;
 
-fn cells() -> Vec<Listing> {
+fn cells() -> Vec<UpstreamRecord> {
     // Cells 0 and 1 in zone 0, cell 2 in zone 1.
-    [1, 2, 3, 11, 12, 13, 21, 22, 23].map(|id| Listing { zone: ZoneId(id / 20), ..listing(id) }).to_vec()
+    [1, 2, 3, 11, 12, 13, 21, 22, 23]
+        .map(|id| UpstreamRecord { zone: ZoneId(id / 20), ..listing(id) })
+        .to_vec()
 }
 
 #[test]
@@ -38,7 +40,7 @@
     let mut stage = Stage::new(settings(), cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let to = sent_to(&actions).unwrap();
-    let actions = stage.event(Event::Abandoned(request));
+    let actions = stage.event(Event::RequestAbandoned(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
     let late = stage.finish(request, 0, to, Outcome::Error, 20.0);
     assert_eq!(sent_to(&late), None);
@@ -66,7 +68,7 @@
         assert_eq!(sent_to(&actions), None, "{outcome:?}");
         assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
     }
-    for outcome in [Outcome::Full, Outcome::Unreachable] {
+    for outcome in [Outcome::Rejected, Outcome::Unreachable] {
         let mut stage = Stage::new(settings(), cells());
         let (request, actions) = stage.arrive(ONCE);
         let to = sent_to(&actions).unwrap();
@@ -98,10 +100,10 @@
 fn a_keyed_request_is_not_resent_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
-    settings.classes[BY_CELL.0].aim = 5_000.0;
+    settings.classes[BY_CELL.0].latency_target = 5_000.0;
     let mut stage = Stage::new(settings, cells());
     stage.event(arrival(9_000, BY_CELL, 5_000.0));
-    (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
+    (0..2).for_each(|_| drop(stage.event(Event::TimerFired(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
     let mut at = None;
@@ -123,7 +125,7 @@
 }
 
 fn arrival(id: u64, class: ClassId, time_left: Millis) -> Event {
-    Event::Arrived { request: RequestId(id), class, tenant: TenantId(0), time_left, cost: None }
+    Event::RequestArrived { request: RequestId(id), class, tenant: TenantId(0), time_left, cost: None }
 }
 
 #[test]
@@ -133,9 +135,9 @@
     let mut stage = Stage::new(settings, cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let first = sent_to(&actions).unwrap();
-    let actions = stage.finish(request, 0, first, Outcome::Full, 1.0);
+    let actions = stage.finish(request, 0, first, Outcome::Rejected, 1.0);
     let second = sent_to(&actions).expect("a second attempt");
-    let actions = stage.finish(request, 1, second, Outcome::Full, 1.0);
+    let actions = stage.finish(request, 1, second, Outcome::Rejected, 1.0);
     assert_eq!(sent_to(&actions), None);
     assert!(refused(&actions));
 }
@@ -143,8 +145,8 @@
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
-    let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    let drain = UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(1) };
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![drain])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).unwrap();
@@ -152,7 +154,7 @@
         stage.now += 5.0;
         stage.finish(request, 0, to, Outcome::Ok, 5.0);
     }
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![listing(3)])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
@@ -164,25 +166,25 @@
 #[test]
 fn unavailable_keeps_the_list() {
     let mut stage = Stage::new(settings(), vec![listing(1)]);
-    stage.event(Event::Listed(ListNews::Unavailable));
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
 }
 
 #[test]
 fn a_subscription_is_asked_for_after_a_jittered_wait_and_again_when_it_fails() {
     let mut settings = settings();
-    settings.discovery = Discovery::Subscribed { must_ask_in: 10_000.0 };
+    settings.discovery = DiscoveryMode::Subscribe { subscribe_within: 10_000.0 };
     let mut stage = Stage::new(settings, vec![]);
     let mut waits = Vec::new();
-    let mut actions = stage.event(Event::Listed(ListNews::Restored(vec![listing(1)])));
+    let mut actions = stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(vec![listing(1)])));
     for _ in 0..12 {
         // The first was asked for when the stage was set: only one call is ever pending.
-        assert!(actions.iter().all(|action| !matches!(action, Action::WakeAt { .. })));
-        actions = stage.event(Event::Woke(0));
+        assert!(actions.iter().all(|action| !matches!(action, Action::SetTimer { .. })));
+        actions = stage.event(Event::TimerFired(0));
         assert!(actions.contains(&Action::Subscribe));
-        let set = stage.event(Event::Listed(ListNews::Unavailable));
+        let set = stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
         waits.extend(set.iter().filter_map(|action| match action {
-            Action::WakeAt { at, .. } => Some(at - stage.now),
+            Action::SetTimer { at, .. } => Some(at - stage.now),
             _ => None,
         }));
         actions = vec![];
@@ -201,13 +203,13 @@
     const WORK: Millis = 30.0;
     for (sidecars, cold_from) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
         let mut settings = settings();
-        settings.sidecars = sidecars;
-        settings.limits.probes = false;
+        settings.sidecar_count = sidecars;
+        settings.limits.allow_probes = false;
         let start = 1_000.0;
-        let servers: Vec<Listing> = (1..=SERVERS)
-            .map(|id| Listing { started: (id >= cold_from).then_some(start), ..listing(id) })
+        let servers: Vec<UpstreamRecord> = (1..=SERVERS)
+            .map(|id| UpstreamRecord { started_at: (id >= cold_from).then_some(start), ..listing(id) })
             .collect();
-        let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+        let (fall, multiple) = (settings.cold_start.overload_duration, settings.cold_start.overload_multiple);
         // Each server does one request at a time; together the sidecars ask for nine tenths of what all can do.
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
@@ -231,7 +233,7 @@
             assert!(cold_from > 1 || !at.is_empty(), "{sidecars} sidecars: server {id} never gets any work");
             for from in &at {
                 let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-                let warmth = 0.2 + 0.8 * (from - start) / settings.safety.warm_up;
+                let warmth = 0.2 + 0.8 * (from - start) / settings.cold_start.warm_up;
                 assert!(
                     sent <= multiple * warmth * fall,
                     "{sidecars} sidecars: {sent} ms of work in a window"
@@ -251,14 +253,14 @@
             stage.now += 20.0;
             let (request, actions) = stage.arrive(REPEATABLE);
             accepted += u32::from(sent_to(&actions).is_some());
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::RequestAbandoned(request));
             stage.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
         }
         accepted
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
-    let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
+    let again = UpstreamRecord { started_at: Some(stage.now), ..listing(1) };
+    stage.event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![again])));
     let cold = accepted(&mut stage);
     assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
 }
--- a/tests/unit/incremental.rs
+++ b/tests/unit/incremental.rs
@@ -14,35 +14,41 @@
 
 const ZONES: u64 = 4;
 
-fn settings(sidecars: u32, crossing_fee: f64) -> Settings {
-    let class = |effect| Class { aim: 300.0, worth: 1.0, late_worth: 0.0, effect };
-    let keyed = |scope| class(Effect::ByKey { scope, window: 400.0 });
+fn settings(sidecars: u32, zone_crossing_cost: f64) -> Settings {
+    let class =
+        |effect| Class { latency_target: 300.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect };
+    let keyed = |scope| class(Idempotency::Keyed { scope, window: 400.0 });
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            class(Effect::Once),
-            keyed(Scope::Cell),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            keyed(DedupScope::Cell),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::All),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_value_fraction: 1.0,
         zone: ZoneId(1),
-        sidecars,
-        rank: Some(2),
-        crossing_fee,
-        probe_fee: 0.01,
-        reports_in_answers: true,
+        sidecar_count: sidecars,
+        sidecar_index: Some(2),
+        zone_crossing_cost,
+        probe_cost: 0.01,
+        reports_in_responses: true,
         limits: Limits {
             max_attempts: 3,
-            duplicates: false,
-            probes: true,
-            cancel: true,
+            allow_concurrent_attempts: false,
+            allow_probes: true,
+            allow_cancellation: true,
             max_retry_after: 100.0,
-            tick: 1.0,
+            min_event_interval: 1.0,
         },
-        safety: Safety { cold_share: 0.3, warm_up: 4_000.0, fall_multiple: 3.0, fall: 1_000.0 },
-        discovery: Discovery::Pushed,
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.3,
+            warm_up: 4_000.0,
+            overload_multiple: 3.0,
+            overload_duration: 1_000.0,
+        },
+        discovery: DiscoveryMode::Push,
     }
 }
 
@@ -98,19 +104,19 @@
         }
     }
 
-    fn listings(&self, entries: &[(u8, u8, bool, bool)]) -> Vec<Listing> {
+    fn listings(&self, entries: &[(u8, u8, bool, bool)]) -> Vec<UpstreamRecord> {
         let listing = |&(who, place, serving, anew): &(u8, u8, bool, bool)| {
             // Most stay where they are; some move to another zone or cell.
             let place = if place < 240 { who } else { place };
-            Listing {
+            UpstreamRecord {
                 upstream: UpstreamId(u64::from(who)),
                 zone: ZoneId(u64::from(place) % ZONES),
                 cell: CellId(u64::from(place) % (3 * ZONES)),
-                spot: u64::from(who).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60,
-                kind: KindId(u64::from(who) % 3),
-                lifecycle: if serving { Lifecycle::Serving } else { Lifecycle::Leaving },
+                ring_position: u64::from(who).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60,
+                machine_type: MachineTypeId(u64::from(who) % 3),
+                lifecycle: if serving { Lifecycle::Serving } else { Lifecycle::Draining },
                 weight: 1.0,
-                started: anew.then_some(self.now),
+                started_at: anew.then_some(self.now),
             }
         };
         entries.iter().map(listing).collect()
@@ -122,8 +128,13 @@
             Step::Arrive(class) => {
                 self.next += 1;
                 let (request, class) = (RequestId(self.next), ClassId(usize::from(*class)));
-                let event =
-                    Event::Arrived { request, class, tenant: TenantId(0), time_left: 900.0, cost: None };
+                let event = Event::RequestArrived {
+                    request,
+                    class,
+                    tenant: TenantId(0),
+                    time_left: 900.0,
+                    cost: None,
+                };
                 self.handle(event);
             }
             Step::End(which, outcome, report) if !self.out.is_empty() => {
@@ -131,7 +142,7 @@
                 let outcome = match outcome {
                     0..=5 => Outcome::Ok,
                     6 | 7 => Outcome::Error,
-                    8 => Outcome::Full,
+                    8 => Outcome::Rejected,
                     9 => Outcome::TimedOut,
                     10 => Outcome::Unreachable,
                     _ => Outcome::Reset,
@@ -139,27 +150,27 @@
                 let report = report.map(|(m, u)| reported(m, u));
                 let closed = outcome == Outcome::Ok;
                 let latency = 40.0;
-                self.handle(Event::Finished(Finished {
+                self.handle(Event::AttemptFinished(AttemptFinished {
                     request,
                     attempt,
                     upstream,
                     outcome,
                     latency,
-                    closed,
+                    request_completed: closed,
                     report,
                 }));
             }
             Step::End(..) => {}
             Step::Probe(who, m, u) => {
                 let (upstream, report) = (UpstreamId(u64::from(*who)), Some(reported(*m, *u)));
-                self.handle(Event::Probed { upstream, answered: true, report });
+                self.handle(Event::ProbeFinished { upstream, answered: true, report });
             }
             Step::Change(entries) => {
-                self.handle(Event::Listed(ListNews::Changed(self.listings(entries))));
+                self.handle(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(self.listings(entries))));
                 self.check_forgotten();
             }
             Step::Whole(entries) => {
-                self.handle(Event::Listed(ListNews::Complete(self.listings(entries))));
+                self.handle(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(self.listings(entries))));
                 self.check_forgotten();
             }
         }
@@ -191,7 +202,7 @@
         assert!((kept.usual_failures(now) - usual).abs() < 1e-9, "{} {usual}", kept.usual_failures(now));
         let mut zones: BTreeMap<ZoneId, Vec<(u64, UpstreamId, CellId)>> = BTreeMap::new();
         for (id, upstream) in serving {
-            zones.entry(upstream.zone).or_default().push((upstream.spot, *id, upstream.cell));
+            zones.entry(upstream.zone).or_default().push((upstream.ring_position, *id, upstream.cell));
         }
         zones.values_mut().for_each(|ring| ring.sort());
         assert_eq!(zones, roster.zones);
@@ -201,7 +212,7 @@
     fn members(&self) -> BTreeSet<UpstreamId> {
         let b = &self.balancer;
         let serving = b.roster.upstreams.values().filter(|upstream| upstream.serving).count() as f64;
-        let covered = 10.0 * serving / f64::from(b.settings.sidecars);
+        let covered = 10.0 * serving / f64::from(b.settings.sidecar_count);
         let share = b.seen.arrivals.at(b.now, RATE_OVER).max(covered).max(12.0) / serving;
         if share >= 1.0 || serving == 0.0 {
             return b.roster.zones.values().flatten().map(|(_, id, _)| *id).collect();
@@ -219,7 +230,7 @@
                 members.insert(*id);
                 let upstream = &b.roster.upstreams[id];
                 if upstream.health == Health::Ready {
-                    wanted -= upstream.warmth(b.now, &b.settings.safety);
+                    wanted -= upstream.warmth(b.now, &b.settings.cold_start);
                 }
             }
         }
@@ -248,16 +259,16 @@
         let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else {
             return members.contains(&id);
         };
-        match b.settings.classes[held.class.0].effect {
-            Effect::Repeatable => true,
-            Effect::Once => false,
-            Effect::ByKey { scope, window } => {
+        match b.settings.classes[held.class.0].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let in_scope = match scope {
-                    Scope::All => true,
-                    Scope::Zone => upstream.zone == first.zone,
-                    Scope::Cell => upstream.cell == first.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => upstream.zone == first.zone,
+                    DedupScope::Cell => upstream.cell == first.cell,
                 };
-                in_scope && b.now + b.settings.limits.tick < first.sent + window
+                in_scope && b.now + b.settings.limits.min_event_interval < first.sent + window
             }
         }
     }
@@ -327,13 +338,13 @@
     }
 }
 
-fn reported(in_flight: u8, utilisation: u8) -> Report {
+fn reported(in_flight: u8, utilisation: u8) -> LoadReport {
     let utilisation = Some(f64::from(utilisation) / 100.0);
-    Report { in_flight: Some(f64::from(in_flight)), utilisation, ..Report::default() }
+    LoadReport { in_flight: Some(f64::from(in_flight)), utilisation, ..LoadReport::default() }
 }
 
-fn stage(sidecars: u32, crossing_fee: f64, seed: u64) -> Stage {
-    let balancer = Balancer::new(settings(sidecars, crossing_fee), seed);
+fn stage(sidecars: u32, zone_crossing_cost: f64, seed: u64) -> Stage {
+    let balancer = Balancer::new(settings(sidecars, zone_crossing_cost), seed);
     let mut stage = Stage { balancer, now: 1_000.0, next: 0, out: Vec::new(), sends: BTreeMap::new() };
     let all: Vec<(u8, u8, bool, bool)> = (0..50).map(|who| (who, 0, true, false)).collect();
     stage.step(&Step::Whole(all));
--- a/tests/unit/net_servers.rs
+++ b/tests/unit/net_servers.rs
@@ -30,7 +30,7 @@
             panic!("one entry, one listing")
         };
         assert!(ids.insert(listing.upstream), "ids are not used again");
-        assert_eq!(listing.started, Some(5.0), "one at the address of another starts cold");
+        assert_eq!(listing.started_at, Some(5.0), "one at the address of another starts cold");
         servers.take(&change(host, "gone"), false, &settings, 9.0);
         servers.forget(std::iter::once(listing.upstream));
         assert_eq!(known(&servers), (1, 1), "an attempt is still out on it");
