--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,57 +12,62 @@
 pub const KEYED_FLEET_WIDE: ClassId = ClassId(4);
 
 /// A class with an aim of 200 ms.
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
+pub fn class(effect: Idempotency) -> Class {
+    Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect }
 }
 
 /// A class deduplicated by key within a scope and a window of 300 ms.
-pub fn keyed_class(scope: Scope) -> Class {
-    class(Effect::ByKey { scope, window: 300.0 })
+pub fn keyed_class(scope: DedupScope) -> Class {
+    class(Idempotency::Keyed { scope, window: 300.0 })
 }
 
 /// One class of each effect and scope, and no tenants.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            keyed_class(Scope::Cell),
-            class(Effect::Once),
-            keyed_class(Scope::Zone),
-            keyed_class(Scope::All),
+            class(Idempotency::Idempotent),
+            keyed_class(DedupScope::Cell),
+            class(Idempotency::NonIdempotent),
+            keyed_class(DedupScope::Zone),
+            keyed_class(DedupScope::All),
         ],
         tenants: Vec::new(),
-        over_quota_worth: 1.0,
+        over_quota_value_fraction: 1.0,
         zone: ZoneId(0),
-        sidecars: 2,
-        rank: Some(0),
-        crossing_fee: 0.0,
-        probe_fee: 0.0,
-        reports_in_answers: true,
+        sidecar_count: 2,
+        sidecar_index: Some(0),
+        zone_crossing_cost: 0.0,
+        probe_cost: 0.0,
+        reports_in_responses: true,
         limits: Limits {
             max_attempts: 4,
-            duplicates: false,
-            probes: true,
-            cancel: true,
+            allow_concurrent_attempts: false,
+            allow_probes: true,
+            allow_cancellation: true,
             max_retry_after: 400.0,
-            tick: 4.0,
+            min_event_interval: 4.0,
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
-        discovery: Discovery::Pushed,
+        cold_start: ColdStartLimits {
+            initial_capacity_fraction: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_duration: 2_000.0,
+        },
+        discovery: DiscoveryMode::Push,
     }
 }
 
 /// A server of zone 0; ten consecutive ids share a cell.
-pub fn listing(id: u64) -> Listing {
-    Listing {
+pub fn listing(id: u64) -> UpstreamRecord {
+    UpstreamRecord {
         upstream: UpstreamId(id),
         zone: ZoneId(0),
         cell: CellId(id / 10),
-        spot: id,
-        kind: KindId(0),
+        ring_position: id,
+        machine_type: MachineTypeId(0),
         lifecycle: Lifecycle::Serving,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -74,14 +79,14 @@
 }
 
 impl BalancerHarness {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> BalancerHarness {
+    pub fn new(settings: Settings, servers: Vec<UpstreamRecord>) -> BalancerHarness {
         BalancerHarness::with_seed(settings, servers, 7)
     }
 
-    pub fn with_seed(settings: Settings, servers: Vec<Listing>, seed: u64) -> BalancerHarness {
+    pub fn with_seed(settings: Settings, servers: Vec<UpstreamRecord>, seed: u64) -> BalancerHarness {
         let mut harness =
             BalancerHarness { balancer: Balancer::new(settings, seed), now: 1_000.0, last_request_id: 0 };
-        harness.handle_event(Event::Listed(ListNews::Restored(servers)));
+        harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(servers)));
         harness
     }
 
@@ -104,7 +109,8 @@
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.last_request_id += 1;
         let request = RequestId(self.last_request_id);
-        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0, cost: None };
+        let event =
+            Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0, cost: None };
         (request, self.handle_event(event))
     }
 
@@ -117,13 +123,13 @@
         outcome: Outcome,
         latency: Millis,
     ) -> Vec<Action> {
-        self.handle_event(Event::Finished(Finished {
+        self.handle_event(Event::AttemptFinished(AttemptFinished {
             request,
             attempt: AttemptNo(attempt),
             upstream,
             outcome,
             latency,
-            closed: outcome == Outcome::Ok,
+            request_completed: outcome == Outcome::Ok,
             report: None,
         }))
     }
@@ -135,9 +141,16 @@
 
     /// Like [`BalancerHarness::report`]; returns the resulting actions.
     pub fn probe_answered(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
-        let report =
-            Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
-        self.handle_event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) })
+        let report = LoadReport {
+            in_flight: Some(in_flight),
+            utilisation: Some(utilisation),
+            ..LoadReport::default()
+        };
+        self.handle_event(Event::ProbeFinished {
+            upstream: UpstreamId(id),
+            answered: true,
+            report: Some(report),
+        })
     }
 }
 
--- a/tests/fleet_simulation/mod.rs
+++ b/tests/fleet_simulation/mod.rs
@@ -11,7 +11,7 @@
 
 /// When servers are replaced. Modules learn the capacity of the old servers before that.
 pub const REPLACEMENT_TIME: Millis = 6_000.0;
-/// Requests that can wait at a server; further ones are rejected with [`Outcome::Full`].
+/// Requests that can wait at a server; further ones are rejected with [`Outcome::Rejected`].
 const QUEUE_CAPACITY: usize = 50;
 /// One-way delay between a module and a server.
 const NETWORK_DELAY: Millis = 0.3;
@@ -20,10 +20,10 @@
 /// Delay until the first module learns of new servers, and the span within which all others do.
 const DISCOVERY_DELAY_AND_SPREAD: [Millis; 2] = [300.0, 120.0];
 /// Each class: work relative to the mean request, aim, deadline, share of all requests, effect.
-const CLASSES: [(f64, Millis, Millis, f64, Effect); 3] = [
-    (0.7, 750.0, 1_500.0, 0.51, Effect::Repeatable),
-    (1.2, 1_200.0, 4_000.0, 0.26, Effect::Once),
-    (1.43, 800.0, 1_500.0, 0.23, Effect::ByKey { scope: Scope::Cell, window: 1_000.0 }),
+const CLASSES: [(f64, Millis, Millis, f64, Idempotency); 3] = [
+    (0.7, 750.0, 1_500.0, 0.51, Idempotency::Idempotent),
+    (1.2, 1_200.0, 4_000.0, 0.26, Idempotency::NonIdempotent),
+    (1.43, 800.0, 1_500.0, 0.23, Idempotency::Keyed { scope: DedupScope::Cell, window: 1_000.0 }),
 ];
 
 /// The parameters of a simulation.
@@ -62,7 +62,7 @@
     /// When the simulation ends.
     pub end: Millis,
     pub seed: u64,
-    pub safety: Safety,
+    pub cold_start: ColdStartLimits,
 }
 
 impl Scenario {
@@ -86,53 +86,60 @@
             load_reports: true,
             end: REPLACEMENT_TIME + 10_000.0,
             seed,
-            safety: Safety { cold_share: 0.36, warm_up: 8_600.0, fall_multiple: 3.0, fall: 3_000.0 },
+            cold_start: ColdStartLimits {
+                initial_capacity_fraction: 0.36,
+                warm_up: 8_600.0,
+                overload_multiple: 3.0,
+                overload_duration: 3_000.0,
+            },
         }
     }
 
     fn settings(&self, rank: usize) -> Settings {
         let class = |&(_, aim, _, _, effect): &_| Class {
-            aim: aim * self.aim_factor,
-            worth: 1.0,
-            late_worth: 0.3,
-            effect,
+            latency_target: aim * self.aim_factor,
+            value: 1.0,
+            late_value_fraction: 0.3,
+            idempotency: effect,
         };
         Settings {
             classes: CLASSES.iter().map(class).collect(),
             tenants: Vec::new(),
-            over_quota_worth: 1.0,
+            over_quota_value_fraction: 1.0,
             zone: ZoneId(rank as u64 % 3),
-            sidecars: self.modules as u32,
-            rank: self.rank_known.then_some(rank as u32),
-            crossing_fee: 0.03,
-            probe_fee: 0.01,
-            reports_in_answers: true,
+            sidecar_count: self.modules as u32,
+            sidecar_index: self.rank_known.then_some(rank as u32),
+            zone_crossing_cost: 0.03,
+            probe_cost: 0.01,
+            reports_in_responses: true,
             limits: Limits {
                 max_attempts: 3,
-                duplicates: true,
-                probes: true,
-                cancel: true,
+                allow_concurrent_attempts: true,
+                allow_probes: true,
+                allow_cancellation: true,
                 max_retry_after: 2_000.0,
-                tick: 5.0,
+                min_event_interval: 5.0,
             },
-            safety: self.safety.clone(),
-            discovery: Discovery::Pushed,
+            cold_start: self.cold_start.clone(),
+            discovery: DiscoveryMode::Push,
         }
     }
 
     /// Capacity of a server started at [`REPLACEMENT_TIME`], relative to its warm capacity.
     fn capacity_share(&self, now: Millis) -> f64 {
-        let Safety { cold_share, warm_up, .. } = self.safety;
-        (cold_share + (1.0 - cold_share) * (now - REPLACEMENT_TIME).max(0.0) / warm_up).min(1.0)
+        let ColdStartLimits { initial_capacity_fraction, warm_up, .. } = self.cold_start;
+        (initial_capacity_fraction
+            + (1.0 - initial_capacity_fraction) * (now - REPLACEMENT_TIME).max(0.0) / warm_up)
+            .min(1.0)
     }
 
     /// Requests of mean work that a cold server of this relative speed may be sent in the window from `window_start`.
     pub fn budget(&self, window_start: Millis, speed: f64) -> f64 {
-        self.safety.fall_multiple
+        self.cold_start.overload_multiple
             * self.capacity_share(window_start)
             * self.capacity_per_s
             * speed
-            * self.safety.fall
+            * self.cold_start.overload_duration
             / 1_000.0
     }
 }
@@ -171,10 +178,10 @@
     /// Evaluates every window that begins during the warm-up. Maxima need only windows that end at a send: among the
     /// windows with the same last send, that one has the most sends and the smallest budget.
     pub fn budget_use(&self, scenario: &Scenario) -> BudgetUse {
-        let window = scenario.safety.fall;
+        let window = scenario.cold_start.overload_duration;
         let mut used =
             BudgetUse { max_share: 0.0, mean_share: 0.0, max_share_of_limit: 0.0, first_window_share: 0.0 };
-        let window_count = ((scenario.safety.warm_up - window) / 100.0) as usize;
+        let window_count = ((scenario.cold_start.warm_up - window) / 100.0) as usize;
         for (speed, sends) in self.cold_servers.values() {
             let mut first = 0;
             for (last, &at) in sends.iter().enumerate() {
@@ -182,7 +189,7 @@
                     first += 1;
                 }
                 let begin = (at - window).max(REPLACEMENT_TIME);
-                if begin > REPLACEMENT_TIME + scenario.safety.warm_up {
+                if begin > REPLACEMENT_TIME + scenario.cold_start.warm_up {
                     break;
                 }
                 let (count, budget) = ((last - first + 1) as f64, scenario.budget(begin, *speed));
@@ -230,7 +237,7 @@
 }
 
 struct Server {
-    listing: Listing,
+    listing: UpstreamRecord,
     /// Relative to the standard server.
     speed: f64,
     cold: bool,
@@ -246,7 +253,7 @@
     report_delay: Millis,
     next_report_at: Millis,
     /// Reports with the time each was made, oldest first.
-    reports: VecDeque<(Millis, Report)>,
+    reports: VecDeque<(Millis, LoadReport)>,
 }
 
 impl Server {
@@ -255,10 +262,10 @@
         while self.next_report_at <= now {
             let at = self.next_report_at;
             self.update_utilisation(at);
-            let report = Report {
+            let report = LoadReport {
                 in_flight: Some((self.active_jobs + self.queue.len()) as f64),
                 utilisation: Some(self.utilisation),
-                ..Report::default()
+                ..LoadReport::default()
             };
             self.reports.push_back((at, report));
             self.next_report_at += self.report_interval;
@@ -275,7 +282,7 @@
         self.updated_at = now;
     }
 
-    fn report(&self, now: Millis) -> Option<Report> {
+    fn report(&self, now: Millis) -> Option<LoadReport> {
         self.reports
             .front()
             .filter(|(at, _)| self.sends_reports && at + self.report_delay <= now)
@@ -309,12 +316,12 @@
     AttemptEnds {
         key: (RequestId, AttemptNo),
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A module receives the answer to a probe.
     ProbeAnswered {
         server: u64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A timer of a module fires.
     TimerFires {
@@ -398,7 +405,7 @@
                 open_requests: BTreeMap::new(),
             });
             let list = self.listings(false);
-            self.handle_event(module, Event::Listed(ListNews::Complete(list)));
+            self.handle_event(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             self.schedule_next_arrival(module);
             let discovered_at = REPLACEMENT_TIME
                 + DISCOVERY_DELAY_AND_SPREAD[0]
@@ -440,15 +447,15 @@
     fn add_server(&mut self, slot: u64, cold: bool) {
         let id = if cold { NEW_SERVER_ID_OFFSET + slot } else { slot };
         let speed = [1.0, self.scenario.speed_ratio, 1.0 / self.scenario.speed_ratio][slot as usize / 3 % 3];
-        let listing = Listing {
+        let listing = UpstreamRecord {
             upstream: UpstreamId(id),
             zone: ZoneId(slot % 3),
             cell: CellId(self.cell(slot)),
-            spot: (id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            kind: KindId(slot / 3 % 3),
+            ring_position: (id + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            machine_type: MachineTypeId(slot / 3 % 3),
             lifecycle: Lifecycle::Serving,
             weight: 1.0,
-            started: cold.then_some(REPLACEMENT_TIME),
+            started_at: cold.then_some(REPLACEMENT_TIME),
         };
         let (report_interval, report_delay) =
             (320.0 + 1_180.0 * self.rng.rand_float(), 53.0 + 377.0 * self.rng.rand_float());
@@ -471,7 +478,7 @@
     }
 
     /// The complete listing, before or after the replacement.
-    fn listings(&mut self, after_replacement: bool) -> Vec<Listing> {
+    fn listings(&mut self, after_replacement: bool) -> Vec<UpstreamRecord> {
         let replaced = if after_replacement { self.replaced_slots() } else { Vec::new() };
         for &slot in &replaced {
             if !self.servers.contains_key(&(NEW_SERVER_ID_OFFSET + slot)) {
@@ -507,12 +514,17 @@
             }
             SimulationEvent::ProbeAnswered { server, report } if !stale => {
                 let upstream = UpstreamId(server);
-                self.handle_event(module, Event::Probed { upstream, answered: report.is_some(), report });
+                self.handle_event(
+                    module,
+                    Event::ProbeFinished { upstream, answered: report.is_some(), report },
+                );
+            }
+            SimulationEvent::TimerFires { token } if !stale => {
+                self.handle_event(module, Event::TimerFired(token))
             }
-            SimulationEvent::TimerFires { token } if !stale => self.handle_event(module, Event::Woke(token)),
             SimulationEvent::ServersReplaced => {
                 let list = self.listings(true);
-                self.handle_event(module, Event::Listed(ListNews::Complete(list)));
+                self.handle_event(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             }
             SimulationEvent::ModuleRestarts => {
                 let seed = self.scenario.seed.wrapping_mul(1_000) + (self.scenario.modules + module) as u64;
@@ -522,8 +534,8 @@
                 this.in_flight.clear();
                 this.open_requests.clear();
                 let list = self.listings(true);
-                self.handle_event(module, Event::Listed(ListNews::Restored(list.clone())));
-                self.handle_event(module, Event::Listed(ListNews::Complete(list)));
+                self.handle_event(module, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(list.clone())));
+                self.handle_event(module, Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list)));
             }
             SimulationEvent::AttemptEnds { .. }
             | SimulationEvent::ProbeAnswered { .. }
@@ -553,7 +565,7 @@
         let request = RequestId(self.next_id as u64);
         self.modules[module].open_requests.insert(request, (class, self.now, work, 0));
         self.result.arrived += usize::from(self.in_warm_up());
-        let event = Event::Arrived {
+        let event = Event::RequestArrived {
             request,
             class: ClassId(class),
             tenant: TenantId(0),
@@ -564,7 +576,7 @@
     }
 
     fn in_warm_up(&self) -> bool {
-        (REPLACEMENT_TIME..REPLACEMENT_TIME + self.scenario.safety.warm_up).contains(&self.now)
+        (REPLACEMENT_TIME..REPLACEMENT_TIME + self.scenario.cold_start.warm_up).contains(&self.now)
     }
 
     /// Passes an event to a module and carries out the resulting actions.
@@ -598,7 +610,7 @@
                         SimulationEvent::ProbeAnswered { server, report },
                     );
                 }
-                Action::WakeAt { at, token } => {
+                Action::SetTimer { at, token } => {
                     self.schedule_at(at, module, SimulationEvent::TimerFires { token })
                 }
                 Action::Subscribe | Action::Log(_) => {}
@@ -641,7 +653,7 @@
         this.advance_to(now);
         if this.active_jobs == this.cores && this.queue.len() >= QUEUE_CAPACITY {
             let report = this.report(now);
-            return self.respond(job, Outcome::Full, report);
+            return self.respond(job, Outcome::Rejected, report);
         }
         this.queue.push_back(job);
         self.start_jobs(server);
@@ -674,7 +686,7 @@
         self.respond(job, if fails { Outcome::Error } else { Outcome::Ok }, report);
     }
 
-    fn respond(&mut self, job: Job, outcome: Outcome, report: Option<Report>) {
+    fn respond(&mut self, job: Job, outcome: Outcome, report: Option<LoadReport>) {
         let key = (job.request, job.attempt);
         if self.modules[job.module].incarnation == job.incarnation {
             self.schedule_at(
@@ -691,7 +703,7 @@
         module: usize,
         (request, attempt): (RequestId, AttemptNo),
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let this = &mut self.modules[module];
         let Some((server, sent_at)) = this.in_flight.remove(&(request, attempt)) else { return };
@@ -702,7 +714,15 @@
             self.modules[module].open_requests.remove(&request);
         }
         let (upstream, latency) = (UpstreamId(server), self.now - sent_at);
-        let finished = Finished { request, attempt, upstream, outcome, latency, closed, report };
-        self.handle_event(module, Event::Finished(finished));
+        let finished = AttemptFinished {
+            request,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            request_completed: closed,
+            report,
+        };
+        self.handle_event(module, Event::AttemptFinished(finished));
     }
 }
