--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The sidecar: one program on real sockets round the decision module of the library.
+//! The sidecar process: connects the decision module of the library to clients, upstreams and discovery.
 
 mod net;
 
@@ -18,18 +18,21 @@
 use net::driver::{Driver, DriverEvent};
 use net::log;
 
-/// Clients connect for up to 0.4 s after SIGTERM; what waits in the accept queue counts as taken.
-const STILL_COMING: Duration = Duration::from_millis(550);
-/// SIGKILL comes no earlier than the longest deadline after SIGTERM, which is taken as this where it is shorter,
-/// and 0.7 s.
-const LEAST_DEADLINE: Duration = Duration::from_secs(3);
-/// So long after that deadline whatever is still open is answered: by SIGKILL it would be lost.
-const LAST_MARGIN: Duration = Duration::from_millis(600);
-/// The last answers have this long to get out.
-const LAST_WORDS: Duration = Duration::from_millis(60);
-/// A configuration that cannot be read may be only half written. It is read again after the first of these waits,
-/// then after longer ones up to the second: what it says counts 4 s after SIGHUP.
-const READ_AGAIN: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
+/// How long new client connections are accepted after SIGTERM. Clients may connect for up to 0.4 s after it, and
+/// connections that are still in the accept queue then must be served as well.
+const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(550);
+/// The minimum time for graceful shutdown; a longer request deadline extends it. SIGKILL follows SIGTERM no earlier
+/// than 0.7 s after the end of this time.
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(3);
+/// Requests that are still pending this long after the drain time are answered at once, before SIGKILL comes.
+const DRAIN_MARGIN: Duration = Duration::from_millis(600);
+/// How long the process waits for these final responses to be written.
+const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
+/// The first wait before a configuration that failed to load is read again: it may be only partly written. The wait
+/// doubles after each failure.
+const INITIAL_RELOAD_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest wait between two reads, so that a corrected configuration is in use within 4 s of SIGHUP.
+const MAX_RELOAD_BACKOFF: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
     match run() {
@@ -51,68 +54,75 @@
 }
 
 async fn sidecar(config: Config) -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).context("cannot wait for SIGTERM")?;
-    let mut interrupt = signal(SignalKind::interrupt()).context("cannot wait for SIGINT")?;
-    // Unhandled it would end the program; so it is taken before anyone can know that the program runs.
-    let hangup = signal(SignalKind::hangup()).context("cannot wait for SIGHUP")?;
+    let mut terminate = signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
+    let mut interrupt = signal(SignalKind::interrupt()).context("cannot install the SIGINT handler")?;
+    // An unhandled SIGHUP would end the process, so the handler is installed before the process is reachable.
+    let hangup = signal(SignalKind::hangup()).context("cannot install the SIGHUP handler")?;
     let listener = client::listen(config.listen)?;
-    let address = listener.local_addr().context("the listener has no address")?;
+    let address = listener.local_addr().context("cannot read the address of the listener")?;
     log::line(format!("listening on {address}"));
-    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let (events, inbox) = mpsc::unbounded_channel();
-    // Until the end of the program: who is told of a drain must keep it to the last request.
+    let (phase_sender, phase_receiver) = watch::channel(ShutdownPhase::Serving);
+    let (event_sender, event_receiver) = mpsc::unbounded_channel();
     let descriptors = Arc::new(Descriptors::new(config.limits.connections_per_side()));
-    tokio::spawn(reload(hangup, address, events.clone(), descriptors.clone()));
-    let at_last = events.clone();
+    // Reloads stay possible during shutdown, so that discovery updates reach the requests still being served.
+    tokio::spawn(reload_on_hangup(hangup, address, event_sender.clone(), descriptors.clone()));
+    let shutdown_event_sender = event_sender.clone();
     let seed = config.seed();
-    let longest = Duration::from_secs_f64(config.settings.longest_deadline_ms() / 1e3);
+    let longest_deadline = Duration::from_secs_f64(config.settings.longest_deadline_ms() / 1e3);
     let names = NameTable { classes: config.settings.classes(), tenants: config.settings.tenant_names() };
-    let frontend = Arc::new(Frontend::new(names, phases, events));
-    let driver =
-        Driver::new(config.settings, seed, config.discovery, frontend.clone(), inbox, descriptors.clone());
-    let mut driver = tokio::spawn(driver.run(config.known));
-    let mut serving = tokio::spawn(client::serve(listener, frontend, descriptors));
+    let frontend = Arc::new(Frontend::new(names, phase_receiver, event_sender));
+    let driver = Driver::new(
+        config.settings,
+        seed,
+        config.discovery,
+        frontend.clone(),
+        event_receiver,
+        descriptors.clone(),
+    );
+    let mut driver_task = tokio::spawn(driver.run(config.known));
+    let mut server_task = tokio::spawn(client::serve(listener, frontend, descriptors));
 
     tokio::select! {
-        _ = terminate.recv() => log::line("SIGTERM: finishing what is held"),
-        _ = interrupt.recv() => log::line("SIGINT: finishing what is held"),
-        // It never ends by itself. Without it nothing is answered: better to be started anew.
-        _ = &mut driver => bail!("the driver has failed"),
+        _ = terminate.recv() => log::line("SIGTERM: graceful shutdown started"),
+        _ = interrupt.recv() => log::line("SIGINT: graceful shutdown started"),
+        // Without the driver no request is answered: exit, so that the process is restarted.
+        _ = &mut driver_task => bail!("the driver task ended unexpectedly"),
     }
-    let last = Instant::now() + longest.max(LEAST_DEADLINE) + LAST_MARGIN;
-    phase.send_replace(ShutdownPhase::Draining);
-    sleep(STILL_COMING).await;
-    phase.send_replace(ShutdownPhase::Closing);
-    if timeout_at(last, &mut serving).await.is_err() {
-        log::line("some clients have not let go in time");
-        // The driver goes before the program does, and then nothing is left to be answered.
-        let _ = at_last.send(DriverEvent::ShutdownDeadline);
-        let _ = timeout_at(last + LAST_WORDS, serving).await;
+    let shutdown_deadline = Instant::now() + longest_deadline.max(MIN_DRAIN_TIME) + DRAIN_MARGIN;
+    phase_sender.send_replace(ShutdownPhase::Draining);
+    sleep(ACCEPT_GRACE_PERIOD).await;
+    phase_sender.send_replace(ShutdownPhase::Closing);
+    if timeout_at(shutdown_deadline, &mut server_task).await.is_err() {
+        log::line("graceful shutdown timed out: answering pending requests before exit");
+        // Fails only if the driver has ended: then no response can be sent.
+        let _ = shutdown_event_sender.send(DriverEvent::ShutdownDeadline);
+        let _ = timeout_at(shutdown_deadline + FINAL_RESPONSE_TIMEOUT, server_task).await;
     }
     Ok(())
 }
 
-/// Waits for SIGHUP and then reads the configuration until it is sound. Meanwhile the old one stays.
-async fn reload(
+/// Reloads the configuration on SIGHUP. If it cannot be loaded, it is read again with backoff until it is valid, and the
+/// old configuration stays in use.
+async fn reload_on_hangup(
     mut hangup: Signal,
-    listening: SocketAddr,
-    events: mpsc::UnboundedSender<DriverEvent>,
+    listen_address: SocketAddr,
+    event_sender: mpsc::UnboundedSender<DriverEvent>,
     descriptors: Arc<Descriptors>,
 ) {
     while hangup.recv().await.is_some() {
-        let mut wait = READ_AGAIN[0];
-        let mut told = false;
-        while let Err(error) = read_again(listening, &events) {
+        let mut backoff = INITIAL_RELOAD_BACKOFF;
+        let mut error_logged = false;
+        while let Err(error) = reload_config(listen_address, &event_sender) {
             if error.chain().filter_map(|cause| cause.downcast_ref()).any(is_out_of_descriptors) {
                 descriptors.report_exhausted();
             }
-            if !std::mem::replace(&mut told, true) {
+            if !std::mem::replace(&mut error_logged, true) {
                 log::line(format!("SIGHUP: the old configuration stays: {error:#}"));
             }
             tokio::select! {
-                () = sleep(wait) => wait = (wait * 2).min(READ_AGAIN[1]),
+                () = sleep(backoff) => backoff = (backoff * 2).min(MAX_RELOAD_BACKOFF),
                 signal = hangup.recv() => match signal {
-                    Some(()) => (wait, told) = (READ_AGAIN[0], false),
+                    Some(()) => (backoff, error_logged) = (INITIAL_RELOAD_BACKOFF, false),
                     None => return,
                 },
             }
@@ -120,14 +130,17 @@
     }
 }
 
-/// Reads the configuration again. One that is not sound changes nothing.
-fn read_again(listening: SocketAddr, events: &mpsc::UnboundedSender<DriverEvent>) -> Result<()> {
+/// Reads the configuration and applies what can be changed at run time. An invalid configuration changes nothing.
+fn reload_config(
+    listen_address: SocketAddr,
+    event_sender: &mpsc::UnboundedSender<DriverEvent>,
+) -> Result<()> {
     let config = Config::from_env()?;
-    log::line(format!("SIGHUP: discovery is at {}", config.discovery));
-    if config.listen.port() != 0 && config.listen != listening {
-        log::line(format!("SIGHUP: listening on {} takes a restart", config.listen));
+    log::line(format!("SIGHUP: configuration reloaded, discovery at {}", config.discovery));
+    if config.listen.port() != 0 && config.listen != listen_address {
+        log::line(format!("SIGHUP: listening on {} requires a restart", config.listen));
     }
-    // The driver goes before the program does, and then nothing is left to be told.
-    let _ = events.send(DriverEvent::ConfigReloaded { discovery: config.discovery });
+    // Fails only if the driver has ended: then the process is about to exit.
+    let _ = event_sender.send(DriverEvent::ConfigReloaded { discovery: config.discovery });
     Ok(())
 }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: owns the module, turns what happens into its events and carries out its actions in order.
+//! The driver owns the decision module. It converts events of the other tasks into module events and carries out the
+//! module's actions in order.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -27,32 +28,31 @@
 };
 use super::upstream_registry::UpstreamRegistry;
 
-/// The module is told this much less than the client waits: its last word must reach the client in time. An
-/// answer takes a fraction of a millisecond to it; the rest is for a turn in which much else is to be done.
-const IN_HAND: Duration = Duration::from_millis(3);
-/// What the module has not ended by then, the driver does.
-const BACKSTOP: Duration = Duration::from_micros(1_500);
-/// A probe that has not come back in this share of the shortest aim says nothing: servers answer them beside
-/// their queue, and by then the request that it was for has gone on.
-const PROBE_SHARE: f64 = 0.5;
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
-/// Idle connections are closed after this share of the time that upstreams keep them: one that is written to
-/// just as the upstream closes it ends as a reset.
-const IDLE_SHARE: f64 = 0.7;
-/// A process that has had no list for this long says that it is up and refuses what comes. While it says nothing
-/// its clients wait, and so long a wait would count as a crash; what is refused may be tried again at once. Of
-/// restarted processes nine in ten have to be ready within 6 s on the shortest days: 2 s are left for the start on a
-/// busy machine, and discovery has had the time for eight calls.
-const UP_WITHOUT_LIST: Duration = Duration::from_secs(4);
-/// An attempt that has been sent and has not ended.
+/// The module's deadline for a request is this much before the client's, so that the final response reaches the
+/// client in time even if the driver is busy.
+const MODULE_DEADLINE_MARGIN: Duration = Duration::from_millis(3);
+/// The driver ends a request that the module has not ended this long before the client's deadline.
+const DEADLINE_TIMER_MARGIN: Duration = Duration::from_micros(1_500);
+/// The probe timeout as a fraction of the shortest latency target. A later report is useless: the request that the
+/// probe was sent for has been routed by then.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.5;
+/// The interval at which expired idle connections and upstreams that are gone are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// The idle timeout of connections as a fraction of the upstreams' keep-alive timeout: a request that is written while
+/// the upstream closes the connection fails with a reset.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
+/// Without a host list the process reports readiness this long after its start and refuses requests. Clients can retry
+/// a refusal at once, whereas a process that does not become ready counts as crashed.
+const READY_WITHOUT_LIST_DELAY: Duration = Duration::from_secs(4);
+
+/// An attempt that has been started and has not ended.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightAttempt {
-    /// The request that it belongs to.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among the attempts of that request.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNo,
-    /// The upstream that it is sent to.
+    /// The upstream that the attempt is sent to.
     pub upstream: UpstreamId,
     /// The incarnation of the upstream: connections are not reused across restarts.
     pub incarnation: u64,
@@ -60,7 +60,7 @@
     pub deadline: Instant,
 }
 
-/// An event that the driver handles.
+/// An event sent to the driver by another task.
 pub enum DriverEvent {
     /// A complete client request was read.
     RequestArrived(Box<ClientRequest>),
@@ -72,7 +72,7 @@
     AttemptEnded {
         /// The attempt.
         in_flight: InFlightAttempt,
-        /// How it ended.
+        /// The result of the attempt.
         result: AttemptResult,
     },
     /// A connection may be put back into the pool.
@@ -98,272 +98,294 @@
         /// The list or the change.
         list: HostList,
     },
-    /// The configuration file was read again.
+    /// The configuration file was reloaded.
     ConfigReloaded {
-        /// Where discovery is asked from now on.
+        /// The address of discovery from now on.
         discovery: SocketAddr,
     },
-    /// The limit on connections may have been lowered.
+    /// The limit on connections was lowered.
     ConnectionLimitLowered,
-    /// The process is about to exit: open requests are answered now, and new ones are refused at once.
+    /// The process is about to exit: pending requests are answered now, and new ones are refused at once.
     ShutdownDeadline,
     /// A call to discovery failed or the watch ended.
     DiscoveryFailed {
         /// The watch or call that failed.
         watch_id: u64,
-        /// The version to go on from: 0 if something was missed.
+        /// The list version to resume from; 0 if an update was missed and the whole list is needed.
         seq: u64,
     },
 }
 
-/// A send that has not ended.
-struct Sent {
+/// The state of an attempt that has not ended.
+struct AttemptState {
     in_flight: InFlightAttempt,
-    at: Instant,
-    /// Dropped or used to give it up; `None` once that was done.
-    give_up: Option<oneshot::Sender<()>>,
+    started_at: Instant,
+    /// Dropped to cancel the attempt; `None` if the attempt is cancelled or not yet connecting.
+    cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A request without its final answer.
-struct Open {
+/// A request that has not received its final response.
+struct PendingRequest {
+    /// The value of the X-Request-ID header.
     id: Box<str>,
     forwarded: Arc<ForwardedRequest>,
     client: Weak<DisconnectDetector>,
     reply: oneshot::Sender<FinalResponse>,
-    sends: u32,
+    attempts_started: u32,
+    /// The module's deadline.
     deadline: Instant,
-    timer: (Instant, u64),
+    /// The key of the deadline timer.
+    deadline_timer: (Instant, u64),
 }
 
+/// What to do when a timer fires.
 enum Timer {
-    Wake(u64),
-    Backstop(RequestId),
+    /// Notify the module; holds the module's token.
+    Module(u64),
+    /// End a request whose deadline has passed.
+    RequestDeadline(RequestId),
+    /// Remove expired idle connections and upstreams that are gone.
     Sweep,
-    UpWithoutList,
+    /// Report readiness if there is still no host list.
+    ReadyWithoutList,
 }
 
-/// The driver.
+/// The task that owns the decision module.
 pub struct Driver {
     module: Balancer,
     settings: SettingsObject,
-    columns: Vec<ReportColumn>,
-    subscribed: bool,
+    report_columns: Vec<ReportColumn>,
+    /// Whether the module requests each discovery watch itself.
+    subscribe_mode: bool,
     frontend: Arc<Frontend>,
-    inbox: mpsc::UnboundedReceiver<DriverEvent>,
-    events: mpsc::UnboundedSender<DriverEvent>,
-    discovery: SocketAddr,
-    seq: u64,
+    event_receiver: mpsc::UnboundedReceiver<DriverEvent>,
+    event_sender: mpsc::UnboundedSender<DriverEvent>,
+    discovery_address: SocketAddr,
+    /// The list version from which the next watch resumes; 0 requests the whole list.
+    list_seq: u64,
     watch: Option<AbortOnDrop>,
-    /// The number of the present watch.
-    watches: u64,
-    /// Whether it is called for until discovery answers, as after SIGHUP, and has not told anything yet.
-    moving: bool,
-    /// Spreads calls to discovery.
+    /// The id of the current watch; events of earlier watches are ignored.
+    watch_id: u64,
+    /// Whether the current watch was started by a reload and has not sent an event yet. It calls discovery until that
+    /// answers.
+    reload_watch_pending: bool,
+    /// Seeds the jitter of discovery watches.
     rng: Rand64,
+    /// The origin of the module's clock.
     epoch: Instant,
-    open: HashMap<RequestId, Open>,
-    /// The ids that clients gave the open requests.
-    ids: HashSet<Box<str>>,
-    sent: BTreeMap<(RequestId, AttemptNo), Sent>,
+    pending: HashMap<RequestId, PendingRequest>,
+    /// The X-Request-ID values of the pending requests.
+    pending_ids: HashSet<Box<str>>,
+    attempts: BTreeMap<(RequestId, AttemptNo), AttemptState>,
     upstreams: UpstreamRegistry,
+    /// Timers by expiry time; the number distinguishes timers of the same time.
     timers: BTreeMap<(Instant, u64), Timer>,
-    next_timer: u64,
+    last_timer_number: u64,
     descriptors: Arc<Descriptors>,
-    probe_time: Duration,
+    probe_timeout: Duration,
+    /// A buffer that is reused for the module's actions.
     actions: Vec<Action>,
-    /// Whether the program is about to end.
-    ending: bool,
+    /// Whether [`DriverEvent::ShutdownDeadline`] was received.
+    shutdown_deadline_reached: bool,
 }
 
 impl Driver {
-    /// A driver that knows the settings and nothing else.
+    /// Creates a driver without upstreams.
     pub fn new(
         settings: SettingsObject,
         seed: u64,
-        discovery: SocketAddr,
+        discovery_address: SocketAddr,
         frontend: Arc<Frontend>,
-        inbox: mpsc::UnboundedReceiver<DriverEvent>,
+        event_receiver: mpsc::UnboundedReceiver<DriverEvent>,
         descriptors: Arc<Descriptors>,
     ) -> Driver {
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let mut told = settings.to_settings();
-        // The module keeps one event interval in hand before a key's window ends, since in the simulator a send
-        // is on its way at once. Here it may first have to connect.
-        told.limits.min_event_interval = told.limits.min_event_interval.max(settings.connect_timeout_ms());
+        let unix_time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let mut module_settings = settings.to_settings();
+        // The module retries no keyed request in the last event interval of its deduplication window. Here a retry may
+        // have to connect first, so the interval must cover the connect timeout.
+        module_settings.limits.min_event_interval =
+            module_settings.limits.min_event_interval.max(settings.connect_timeout_ms());
         Driver {
-            subscribed: matches!(told.discovery, DiscoveryMode::Subscribe { .. }),
-            module: Balancer::new(told, seed),
-            columns: settings.columns(),
-            events: frontend.events.clone(),
+            subscribe_mode: matches!(module_settings.discovery, DiscoveryMode::Subscribe { .. }),
+            module: Balancer::new(module_settings, seed),
+            report_columns: settings.columns(),
+            event_sender: frontend.events.clone(),
             frontend,
-            inbox,
-            discovery,
-            seq: 0,
+            event_receiver,
+            discovery_address,
+            list_seq: 0,
             watch: None,
-            watches: 0,
-            moving: false,
-            // Any seed of its own will do, so long as it differs between sidecars.
+            watch_id: 0,
+            reload_watch_pending: false,
+            // Differs between sidecars and from the module's seed.
             rng: Rand64::new(u128::from(!seed)),
             epoch: Instant::now(),
-            open: HashMap::new(),
-            ids: HashSet::new(),
-            sent: BTreeMap::new(),
-            upstreams: UpstreamRegistry::new(unix.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
+            pending: HashMap::new(),
+            pending_ids: HashSet::new(),
+            attempts: BTreeMap::new(),
+            upstreams: UpstreamRegistry::new(unix_time.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
             timers: BTreeMap::new(),
-            next_timer: 0,
+            last_timer_number: 0,
             descriptors,
-            probe_time: Duration::from_secs_f64(settings.shortest_latency_target_ms() * PROBE_SHARE / 1e3),
+            probe_timeout: Duration::from_secs_f64(
+                settings.shortest_latency_target_ms() * PROBE_TIMEOUT_FRACTION / 1e3,
+            ),
             actions: Vec::new(),
-            ending: false,
+            shutdown_deadline_reached: false,
             settings,
         }
     }
 
-    /// Runs for good.
-    pub async fn run(mut self, known: Option<HostList>) {
-        let known = known.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
-        self.listed(&known, true);
-        if !self.subscribed {
-            self.watch(false);
+    /// Starts from a saved host list, if there is one, and handles events until the process exits.
+    pub async fn run(mut self, saved_list: Option<HostList>) {
+        let saved_list = saved_list.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
+        self.apply_host_list(&saved_list, true);
+        if !self.subscribe_mode {
+            self.start_watch(false);
         }
-        self.set_timer(Instant::now() + SWEEP, Timer::Sweep);
-        self.set_timer(self.epoch + UP_WITHOUT_LIST, Timer::UpWithoutList);
+        self.set_timer(Instant::now() + SWEEP_INTERVAL, Timer::Sweep);
+        self.set_timer(self.epoch + READY_WITHOUT_LIST_DELAY, Timer::ReadyWithoutList);
         loop {
-            let due = self.timers.keys().next().map(|key| key.0);
+            let next_expiry = self.timers.keys().next().map(|key| key.0);
             tokio::select! {
                 biased;
-                event = self.inbox.recv() => match event {
-                    Some(event) => self.happened(event),
+                event = self.event_receiver.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                () = sleep_until(due.unwrap_or_else(|| Instant::now() + SWEEP)) => {}
+                () = sleep_until(next_expiry.unwrap_or_else(|| Instant::now() + SWEEP_INTERVAL)) => {}
             }
-            self.fire();
+            self.fire_expired_timers();
         }
     }
 
-    /// Watches from here on in place of the watch before. What that one had on its way is dropped; the new
-    /// one tells it again, since it goes on from the last version that was taken in.
-    fn watch(&mut self, moved: bool) {
-        self.watches += 1;
-        let (address, id, events) = (self.discovery, self.watches, self.events.clone());
+    /// Starts a discovery watch that replaces the current one. Unhandled events of the replaced watch are ignored;
+    /// nothing is lost, since the new watch resumes from the last version that was applied. `after_reload` tells
+    /// whether a configuration reload asked for the watch.
+    fn start_watch(&mut self, after_reload: bool) {
+        self.watch_id += 1;
+        let (address, id, events) = (self.discovery_address, self.watch_id, self.event_sender.clone());
         let drain_grace = Duration::from_secs_f64(self.settings.drain_grace_ms() / 1e3);
         let rng = Rand64::new(u128::from(self.rng.rand_u64()));
         let descriptors = self.descriptors.clone();
-        let watch = Watch { address, id, seq: self.seq, events, drain_grace, rng, descriptors };
-        self.moving = moved;
-        self.watch = Some(AbortOnDrop(if self.subscribed {
-            tokio::spawn(watch.run_once(moved))
+        let watch = Watch { address, id, seq: self.list_seq, events, drain_grace, rng, descriptors };
+        self.reload_watch_pending = after_reload;
+        self.watch = Some(AbortOnDrop(if self.subscribe_mode {
+            tokio::spawn(watch.run_once(after_reload))
         } else {
             tokio::spawn(watch.run_forever())
         }));
     }
 
-    /// The module's clock.
-    fn millis(&self, at: Instant) -> Millis {
+    /// Converts a time to the module's clock.
+    fn module_time(&self, at: Instant) -> Millis {
         at.saturating_duration_since(self.epoch).as_secs_f64() * 1e3
     }
 
     fn set_timer(&mut self, at: Instant, timer: Timer) -> (Instant, u64) {
-        self.next_timer += 1;
-        let key = (at, self.next_timer);
+        self.last_timer_number += 1;
+        let key = (at, self.last_timer_number);
         self.timers.insert(key, timer);
         key
     }
 
-    /// Fires the timers that are due.
-    fn fire(&mut self) {
+    fn fire_expired_timers(&mut self) {
         let now = Instant::now();
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Timer::Wake(token) => self.event(Event::TimerFired(token)),
-                Timer::Backstop(request) => self.backstop(request),
-                Timer::UpWithoutList if !self.frontend.ready.swap(true, Ordering::Relaxed) => {
-                    log::line("no list of upstreams yet: up without one, and what comes is refused");
+                Timer::Module(token) => self.notify_module(Event::TimerFired(token)),
+                Timer::RequestDeadline(request) => self.end_at_deadline(request),
+                Timer::ReadyWithoutList if !self.frontend.ready.swap(true, Ordering::Relaxed) => {
+                    log::line(
+                        "no list of upstreams yet: reporting ready and refusing requests until one arrives",
+                    );
                 }
-                Timer::UpWithoutList => {}
+                Timer::ReadyWithoutList => {}
                 Timer::Sweep => {
-                    let limit = self.idle_limit();
-                    self.upstreams.pools().for_each(|pool| pool.close_expired(limit));
-                    self.upstreams.remove_gone(self.sent.values().map(|sent| sent.in_flight.upstream));
-                    self.set_timer(now + SWEEP, Timer::Sweep);
+                    let idle_timeout = self.idle_timeout();
+                    self.upstreams.pools().for_each(|pool| pool.close_expired(idle_timeout));
+                    self.upstreams.remove_gone(self.attempts.values().map(|state| state.in_flight.upstream));
+                    self.set_timer(now + SWEEP_INTERVAL, Timer::Sweep);
                 }
             }
         }
     }
 
-    /// Ends a request whose time is over. Where the process was held up, its attempts have run out of time as
-    /// well and could not say so yet: the module hears of them and has the last word. Only where it is at fault
-    /// has it none.
-    fn backstop(&mut self, request: RequestId) {
-        let all = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
-        let out: Vec<InFlightAttempt> = self.sent.range(all).map(|(_, sent)| sent.in_flight).collect();
-        for in_flight in out {
-            self.ended(in_flight, AttemptResult::Outcome(Outcome::TimedOut, None));
+    /// Ends a request at its deadline. If the process was suspended, attempts may have timed out without a report:
+    /// the module is told of these timeouts first, so that it can choose the final response. A request that the
+    /// module does not end even then fails.
+    fn end_at_deadline(&mut self, request: RequestId) {
+        let all_attempts = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
+        let in_flight_attempts: Vec<InFlightAttempt> =
+            self.attempts.range(all_attempts).map(|(_, state)| state.in_flight).collect();
+        for in_flight in in_flight_attempts {
+            self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::TimedOut, None));
         }
-        if self.open.contains_key(&request) {
-            self.finish(request, FinalResponse::Failed);
-            self.leave(request);
+        if self.pending.contains_key(&request) {
+            self.respond(request, FinalResponse::Failed);
+            self.abandon_request(request);
         }
     }
 
-    fn idle_limit(&self) -> Duration {
-        Duration::from_secs_f64(self.settings.keepalive_ms() * IDLE_SHARE / 1e3)
+    fn idle_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.settings.keepalive_ms() * IDLE_TIMEOUT_FRACTION / 1e3)
     }
 
-    /// Hands an event to the module and does what it says.
-    fn event(&mut self, event: Event) {
-        let now = self.millis(Instant::now());
+    /// Passes an event to the module and carries out the actions that it returns.
+    fn notify_module(&mut self, event: Event) {
+        let now = self.module_time(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
         self.module.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute_action(action);
         }
         self.actions = actions;
     }
 
-    fn happened(&mut self, event: DriverEvent) {
+    fn handle_event(&mut self, event: DriverEvent) {
         match event {
-            DriverEvent::RequestArrived(client_request) => self.arrived(*client_request),
-            DriverEvent::ClientDisconnected(request) => self.client_left(request),
-            DriverEvent::ConnectFinished(in_flight, connection) => self.connected(in_flight, connection),
-            DriverEvent::AttemptEnded { in_flight, result } => self.ended(in_flight, result),
+            DriverEvent::RequestArrived(client_request) => self.on_request_arrived(*client_request),
+            DriverEvent::ClientDisconnected(request) => self.on_client_disconnected(request),
+            DriverEvent::ConnectFinished(in_flight, connection) => {
+                self.on_connect_finished(in_flight, connection)
+            }
+            DriverEvent::AttemptEnded { in_flight, result } => self.on_attempt_ended(in_flight, result),
             DriverEvent::ConnectionReturned { upstream, incarnation, connection } => {
-                self.put_back(upstream, incarnation, *connection)
+                self.return_to_pool(upstream, incarnation, *connection)
             }
             DriverEvent::ProbeFinished { upstream, response } => {
                 let answered = response.as_ref().is_some_and(|response| response.status == 200);
                 let text = response.filter(|_| answered);
                 let text = text.as_ref().and_then(|response| std::str::from_utf8(&response.body).ok());
-                let report = text.and_then(|text| report_from_text(&self.columns, text));
-                self.event(Event::ProbeFinished { upstream, answered, report });
+                let report = text.and_then(|text| report_from_text(&self.report_columns, text));
+                self.notify_module(Event::ProbeFinished { upstream, answered, report });
             }
-            DriverEvent::HostListReceived { watch_id, list } if watch_id == self.watches => {
-                self.listed(&list, false)
+            DriverEvent::HostListReceived { watch_id, list } if watch_id == self.watch_id => {
+                self.apply_host_list(&list, false)
             }
-            DriverEvent::DiscoveryFailed { watch_id, seq } if watch_id == self.watches => {
-                self.seq = seq;
-                self.moving = false;
-                self.event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
+            DriverEvent::DiscoveryFailed { watch_id, seq } if watch_id == self.watch_id => {
+                self.list_seq = seq;
+                self.reload_watch_pending = false;
+                self.notify_module(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
             }
-            // Of a watch that another has taken the place of.
+            // The watch has been replaced.
             DriverEvent::HostListReceived { .. } | DriverEvent::DiscoveryFailed { .. } => {}
             DriverEvent::ConfigReloaded { discovery } => {
-                self.discovery = discovery;
-                self.watch(true);
+                self.discovery_address = discovery;
+                self.start_watch(true);
             }
             DriverEvent::ConnectionLimitLowered => {
-                while self.descriptors.is_over_limit(0) && self.close_oldest() {}
+                while self.descriptors.is_over_limit(0) && self.close_oldest_idle() {}
             }
             DriverEvent::ShutdownDeadline => {
-                self.ending = true;
-                let open: Vec<RequestId> = self.open.keys().copied().collect();
-                open.into_iter().for_each(|request| self.backstop(request));
+                self.shutdown_deadline_reached = true;
+                let pending: Vec<RequestId> = self.pending.keys().copied().collect();
+                pending.into_iter().for_each(|request| self.end_at_deadline(request));
             }
         }
     }
 
-    fn arrived(&mut self, client_request: ClientRequest) {
+    fn on_request_arrived(&mut self, client_request: ClientRequest) {
         let ClientRequest {
             request,
             class,
@@ -376,284 +398,310 @@
             client,
             reply,
         } = client_request;
-        if self.ending {
+        if self.shutdown_deadline_reached {
             let _ = reply.send(FinalResponse::Refused(0.0));
             return;
         }
-        // Upstreams know a request by its id. One that says it is another's would be taken for that one's
-        // next attempt.
-        if !self.ids.insert(id.clone()) {
+        // Upstreams identify a request by its id and would take a second request with the same id for a retry.
+        if !self.pending_ids.insert(id.clone()) {
             let _ = reply.send(FinalResponse::Rejected(StatusCode::CONFLICT));
             return;
         }
-        let deadline = received_at + time_left.saturating_sub(IN_HAND);
-        let timer =
-            self.set_timer(received_at + time_left.saturating_sub(BACKSTOP), Timer::Backstop(request));
-        let open = Open { id, forwarded: Arc::new(forwarded), client, reply, sends: 0, deadline, timer };
-        self.open.insert(request, open);
+        let deadline = received_at + time_left.saturating_sub(MODULE_DEADLINE_MARGIN);
+        let deadline_timer = self.set_timer(
+            received_at + time_left.saturating_sub(DEADLINE_TIMER_MARGIN),
+            Timer::RequestDeadline(request),
+        );
+        let pending = PendingRequest {
+            id,
+            forwarded: Arc::new(forwarded),
+            client,
+            reply,
+            attempts_started: 0,
+            deadline,
+            deadline_timer,
+        };
+        self.pending.insert(request, pending);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
-        self.event(Event::RequestArrived { request, class, tenant, time_left, cost });
+        self.notify_module(Event::RequestArrived { request, class, tenant, time_left, cost });
     }
 
-    /// Ends a request whose client has gone.
-    fn client_left(&mut self, request: RequestId) {
-        self.close(request);
-        self.leave(request);
+    fn on_client_disconnected(&mut self, request: RequestId) {
+        self.remove_pending(request);
+        self.abandon_request(request);
     }
 
-    /// Tells the module that a request is over without it, and ends what is out for it.
-    fn leave(&mut self, request: RequestId) {
-        self.event(Event::RequestAbandoned(request));
-        self.give_up_all(request);
+    /// Tells the module that a request needs no final response from it any more, and cancels its attempts.
+    fn abandon_request(&mut self, request: RequestId) {
+        self.notify_module(Event::RequestAbandoned(request));
+        self.cancel_attempts(request);
     }
 
-    fn give_up_all(&mut self, request: RequestId) {
+    fn cancel_attempts(&mut self, request: RequestId) {
         let first = (request, AttemptNo(0));
-        for (_, sent) in self.sent.range_mut(first..=(request, AttemptNo(u32::MAX))) {
-            sent.give_up = None;
+        for (_, state) in self.attempts.range_mut(first..=(request, AttemptNo(u32::MAX))) {
+            state.cancel = None;
         }
     }
 
-    /// Takes a request off the books.
-    fn close(&mut self, request: RequestId) -> Option<Open> {
-        let open = self.open.remove(&request)?;
-        self.timers.remove(&open.timer);
-        self.ids.remove(&open.id);
-        Some(open)
+    /// Removes a request from the pending requests, together with its id and its deadline timer.
+    fn remove_pending(&mut self, request: RequestId) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&request)?;
+        self.timers.remove(&pending.deadline_timer);
+        self.pending_ids.remove(&pending.id);
+        Some(pending)
     }
 
-    /// Answers a request, if it is still owed one.
-    fn finish(&mut self, request: RequestId, response: FinalResponse) -> bool {
-        let Some(open) = self.close(request) else { return false };
-        // The client may have gone in this very moment.
-        open.reply.send(response).is_ok()
+    /// Sends the final response to a request that is still pending. Returns whether it could be handed over.
+    fn respond(&mut self, request: RequestId, response: FinalResponse) -> bool {
+        let Some(pending) = self.remove_pending(request) else { return false };
+        // Fails if the client has just disconnected.
+        pending.reply.send(response).is_ok()
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout } => self.send(request, upstream, timeout),
+            Action::Send { request, upstream, timeout } => self.start_attempt(request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(sent) = self.sent.get_mut(&(request, attempt)) {
-                    sent.give_up = None;
+                if let Some(state) = self.attempts.get_mut(&(request, attempt)) {
+                    state.cancel = None;
                 }
             }
             Action::Refuse { request, retry_after } => {
-                self.finish(request, FinalResponse::Refused(retry_after));
+                self.respond(request, FinalResponse::Refused(retry_after));
             }
             Action::Fail(request) => {
-                self.finish(request, FinalResponse::Failed);
+                self.respond(request, FinalResponse::Failed);
             }
-            Action::Probe(upstream) => self.probe(upstream),
+            Action::Probe(upstream) => self.start_probe(upstream),
             Action::SetTimer { at, token } => {
                 let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                 let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
-                self.set_timer(at, Timer::Wake(token));
+                self.set_timer(at, Timer::Module(token));
             }
-            // A call that is made until it is answered needs no other beside it, which might hang and be given up.
-            Action::Subscribe if self.moving => {}
-            Action::Subscribe => self.watch(false),
+            // The pending watch calls discovery until it answers; one that replaced it would call only once.
+            Action::Subscribe if self.reload_watch_pending => {}
+            Action::Subscribe => self.start_watch(false),
             Action::Log(text) => log::line(text),
         }
     }
 
-    // --- Attempts ----------------------------------------------------------------------------
+    // --- Attempts and probes -----------------------------------------------------------------
 
-    fn send(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
+    fn start_attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
         let now = Instant::now();
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let attempt = AttemptNo(open.sends);
-        open.sends += 1;
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        let attempt = AttemptNo(pending.attempts_started);
+        pending.attempts_started += 1;
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
         let deadline = match now.checked_add(timeout) {
-            Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline),
-            _ => open.deadline,
+            Some(deadline) if !timeout.is_zero() => deadline.min(pending.deadline),
+            _ => pending.deadline,
         };
         let incarnation = self.upstreams.get(upstream).map_or(0, |server| server.incarnation);
         let in_flight = InFlightAttempt { request, attempt, upstream, incarnation, deadline };
-        self.sent.insert((request, attempt), Sent { in_flight, at: now, give_up: None });
-        self.start(in_flight);
+        self.attempts.insert((request, attempt), AttemptState { in_flight, started_at: now, cancel: None });
+        self.acquire_connection(in_flight);
     }
 
-    /// Gets a connection for an attempt: an idle one, or a new one.
-    fn start(&mut self, in_flight: InFlightAttempt) {
-        let limit = self.idle_limit();
+    /// Sends an attempt over an idle connection, or starts to open a new connection for it.
+    fn acquire_connection(&mut self, in_flight: InFlightAttempt) {
+        let idle_timeout = self.idle_timeout();
         let Some(server) = self.upstreams.get_mut(in_flight.upstream) else {
-            return self.end_later(in_flight, Outcome::NotSent);
+            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
         };
-        if let Some(connection) = server.pool.take(limit) {
-            return self.write(in_flight, connection);
+        if let Some(connection) = server.pool.take(idle_timeout) {
+            return self.send_attempt(in_flight, connection);
         }
         let address = server.address;
-        // Out of sockets of our own: no fault of the upstream's.
-        let Some(permit) = self.permit() else { return self.end_later(in_flight, Outcome::NotSent) };
-        let (give_up, given_up) = oneshot::channel();
-        if let Some(sent) = self.sent.get_mut(&(in_flight.request, in_flight.attempt)) {
-            sent.give_up = Some(give_up);
+        // Without a free connection the attempt is not sent; this must not count against the upstream.
+        let Some(permit) = self.acquire_connection_permit() else {
+            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
+        };
+        let (cancel, cancelled) = oneshot::channel();
+        if let Some(state) = self.attempts.get_mut(&(in_flight.request, in_flight.attempt)) {
+            state.cancel = Some(cancel);
         }
-        let by = Instant::now() + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
-        let (events, descriptors) = (self.events.clone(), self.descriptors.clone());
+        let connect_deadline =
+            Instant::now() + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
+        let (events, descriptors) = (self.event_sender.clone(), self.descriptors.clone());
         tokio::spawn(async move {
             let result = tokio::select! {
-                result = Connection::open(address, by.min(in_flight.deadline), permit, &descriptors) => result,
-                _ = given_up => Err(ConnectError::Cancelled),
+                result = Connection::open(
+                    address,
+                    connect_deadline.min(in_flight.deadline),
+                    permit,
+                    &descriptors,
+                ) => result,
+                _ = cancelled => Err(ConnectError::Cancelled),
             };
             let _ = events.send(DriverEvent::ConnectFinished(in_flight, result.map(Box::new)));
         });
     }
 
-    /// The right to one more connection; an idle one is closed for it if need be.
-    fn permit(&mut self) -> Option<OwnedSemaphorePermit> {
-        while self.descriptors.is_over_limit(1) && self.close_oldest() {}
+    /// Returns a permit for one more upstream connection. Closes idle connections if the limit is reached.
+    fn acquire_connection_permit(&mut self) -> Option<OwnedSemaphorePermit> {
+        while self.descriptors.is_over_limit(1) && self.close_oldest_idle() {}
         self.descriptors.try_acquire()
     }
 
-    /// Closes the connection that is longest idle. Whether there was one.
-    fn close_oldest(&mut self) -> bool {
+    /// Closes the connection that has been idle longest. Returns whether there was one.
+    fn close_oldest_idle(&mut self) -> bool {
         let pools = self.upstreams.pools().filter(|pool| pool.oldest_idle_since().is_some());
         let Some(pool) = pools.min_by_key(|pool| pool.oldest_idle_since()) else { return false };
         pool.close_oldest();
         true
     }
 
-    fn connected(&mut self, in_flight: InFlightAttempt, connection: Result<Box<Connection>, ConnectError>) {
+    fn on_connect_finished(
+        &mut self,
+        in_flight: InFlightAttempt,
+        connection: Result<Box<Connection>, ConnectError>,
+    ) {
         let key = (in_flight.request, in_flight.attempt);
-        let given_up = self.sent.get(&key).is_none_or(|sent| sent.give_up.is_none());
+        let cancelled = self.attempts.get(&key).is_none_or(|state| state.cancel.is_none());
         let connection = match connection {
             Ok(connection) => *connection,
-            Err(ConnectError::Failed(reason)) if !given_up => {
+            Err(ConnectError::Failed(reason)) if !cancelled => {
                 let host = self.upstreams.get(in_flight.upstream).map_or("?", |server| &server.host);
                 log::line(format!("upstream {host}: {reason}"));
-                return self.ended(in_flight, AttemptResult::Outcome(Outcome::Unreachable, None));
+                return self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::Unreachable, None));
+            }
+            Err(_) => {
+                return self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::NotSent, None));
             }
-            Err(_) => return self.ended(in_flight, AttemptResult::Outcome(Outcome::NotSent, None)),
         };
-        // While it connected, its time may have run out, the request may have ended or the upstream may have
-        // begun to drain or to live anew: what is not written yet must not be.
-        let open = self.open.contains_key(&in_flight.request) && !given_up;
+        // Meanwhile the attempt may have timed out, the request may have ended, or the upstream may have started to
+        // drain or restarted: then the request must not be written.
+        let still_pending = self.pending.contains_key(&in_flight.request) && !cancelled;
         let in_time = Instant::now() < in_flight.deadline;
-        let wanted = self.upstreams.get(in_flight.upstream).is_some_and(|server| {
-            server.incarnation == in_flight.incarnation && server.listing.lifecycle == Lifecycle::Serving
+        let upstream_unchanged = self.upstreams.get(in_flight.upstream).is_some_and(|server| {
+            server.incarnation == in_flight.incarnation && server.record.lifecycle == Lifecycle::Serving
         });
-        if open && wanted && in_time {
-            return self.write(in_flight, connection);
+        if still_pending && upstream_unchanged && in_time {
+            return self.send_attempt(in_flight, connection);
         }
-        self.put_back(in_flight.upstream, in_flight.incarnation, connection);
-        let outcome = if open { Outcome::Unreachable } else { Outcome::NotSent };
-        self.ended(in_flight, AttemptResult::Outcome(outcome, None));
+        self.return_to_pool(in_flight.upstream, in_flight.incarnation, connection);
+        let outcome = if still_pending { Outcome::Unreachable } else { Outcome::NotSent };
+        self.on_attempt_ended(in_flight, AttemptResult::Outcome(outcome, None));
     }
 
-    /// Writes an attempt to a connection.
-    fn write(&mut self, in_flight: InFlightAttempt, connection: Connection) {
+    /// Sends an attempt over a connection.
+    fn send_attempt(&mut self, in_flight: InFlightAttempt, connection: Connection) {
         let key = (in_flight.request, in_flight.attempt);
-        let Some(open) = self.open.get(&in_flight.request) else {
-            self.put_back(in_flight.upstream, in_flight.incarnation, connection);
-            return self.end_later(in_flight, Outcome::NotSent);
+        let Some(pending) = self.pending.get(&in_flight.request) else {
+            self.return_to_pool(in_flight.upstream, in_flight.incarnation, connection);
+            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
         };
         let address = self.upstreams.get(in_flight.upstream).map(|server| server.address);
-        let left = in_flight.deadline.saturating_duration_since(connection.reusable_at().max(Instant::now()));
-        let request = outgoing(&open.forwarded, address, left);
-        let body_len = open.forwarded.body.len();
-        let (give_up, given_up) = oneshot::channel();
-        if let Some(sent) = self.sent.get_mut(&key) {
-            sent.give_up = Some(give_up);
+        let time_left =
+            in_flight.deadline.saturating_duration_since(connection.reusable_at().max(Instant::now()));
+        let request = upstream_request(&pending.forwarded, address, time_left);
+        let body_len = pending.forwarded.body.len();
+        let (cancel, cancelled) = oneshot::channel();
+        if let Some(state) = self.attempts.get_mut(&key) {
+            state.cancel = Some(cancel);
         }
-        let (client, events) = (open.client.clone(), self.events.clone());
-        tokio::spawn(run_attempt(connection, request, body_len, client, in_flight, given_up, events));
+        let (client, events) = (pending.client.clone(), self.event_sender.clone());
+        tokio::spawn(run_attempt(connection, request, body_len, client, in_flight, cancelled, events));
     }
 
-    /// Ends an attempt that never began, after the actions at hand.
-    fn end_later(&self, in_flight: InFlightAttempt, outcome: Outcome) {
+    /// Ends an attempt that was never sent. The end is queued as an event, so that the module hears of it only after
+    /// the current actions are carried out.
+    fn queue_attempt_ended(&self, in_flight: InFlightAttempt, outcome: Outcome) {
         let _ = self
-            .events
+            .event_sender
             .send(DriverEvent::AttemptEnded { in_flight, result: AttemptResult::Outcome(outcome, None) });
     }
 
-    fn ended(&mut self, in_flight: InFlightAttempt, result: AttemptResult) {
+    fn on_attempt_ended(&mut self, in_flight: InFlightAttempt, result: AttemptResult) {
         let key = (in_flight.request, in_flight.attempt);
         let (outcome, response) = match result {
             AttemptResult::Outcome(outcome, response) => (outcome, response),
-            // Nothing was written: the same attempt goes on over another connection, if it still may.
+            // Nothing was written: unless cancelled or late, the same attempt continues over another connection.
             AttemptResult::StaleConnection => {
-                let wanted = self.sent.get(&key).is_some_and(|sent| sent.give_up.is_some());
-                if wanted && Instant::now() < in_flight.deadline {
-                    return self.start(in_flight);
+                let not_cancelled = self.attempts.get(&key).is_some_and(|state| state.cancel.is_some());
+                if not_cancelled && Instant::now() < in_flight.deadline {
+                    return self.acquire_connection(in_flight);
                 }
                 (Outcome::Unreachable, None)
             }
-            // Its connection tells the same, if later.
+            // The client's connection reports the disconnect as well, possibly later.
             AttemptResult::ClientDisconnected => {
-                self.client_left(in_flight.request);
+                self.on_client_disconnected(in_flight.request);
                 (Outcome::NotSent, None)
             }
         };
-        let Some(sent) = self.sent.remove(&key) else { return };
-        let latency = sent.at.elapsed().as_secs_f64() * 1e3;
+        let Some(state) = self.attempts.remove(&key) else { return };
+        let latency = state.started_at.elapsed().as_secs_f64() * 1e3;
         let report = response.as_ref().and_then(|response| {
             let text =
                 response.headers.get("x-server-load").filter(|_| self.settings.reports_in_responses())?;
-            report_from_text(&self.columns, text.to_str().ok()?)
+            report_from_text(&self.report_columns, text.to_str().ok()?)
         });
-        // The first answer goes to the client by itself and ends the request; so does one that finds fault
-        // with the request itself, which other upstreams would find as well.
-        let mut closed = !self.open.contains_key(&in_flight.request);
+        // A successful response goes to the client at once and ends the request. So does a response that rejects the
+        // request itself, since other upstreams would reject it as well.
+        let mut completed = !self.pending.contains_key(&in_flight.request);
         match (outcome, response) {
             (Outcome::Ok, Some(response)) => {
-                self.finish(
+                self.respond(
                     in_flight.request,
-                    FinalResponse::Served(client_headers(&response.headers), response.body),
+                    FinalResponse::Served(forwarded_response_headers(&response.headers), response.body),
                 );
-                closed = true;
+                completed = true;
             }
             (Outcome::Cancelled, Some(response)) => {
-                self.finish(in_flight.request, FinalResponse::Rejected(response.status));
-                closed = true;
+                self.respond(in_flight.request, FinalResponse::Rejected(response.status));
+                completed = true;
             }
             _ => {}
         }
-        self.event(Event::AttemptFinished(AttemptFinished {
+        self.notify_module(Event::AttemptFinished(AttemptFinished {
             request: in_flight.request,
             attempt: in_flight.attempt,
             upstream: in_flight.upstream,
             outcome,
             latency,
-            request_completed: closed,
+            request_completed: completed,
             report,
         }));
     }
 
-    fn put_back(&mut self, upstream: UpstreamId, incarnation: u64, connection: Connection) {
+    /// Returns a connection to its pool, or closes it if it may not be reused.
+    fn return_to_pool(&mut self, upstream: UpstreamId, incarnation: u64, connection: Connection) {
         let Some(server) = self.upstreams.get_mut(upstream) else { return };
         if server.incarnation == incarnation
-            && server.listing.lifecycle == Lifecycle::Serving
+            && server.record.lifecycle == Lifecycle::Serving
             && connection.is_usable()
         {
             server.pool.put(connection);
         }
     }
 
-    fn probe(&mut self, upstream: UpstreamId) {
-        let limit = self.idle_limit();
+    fn start_probe(&mut self, upstream: UpstreamId) {
+        let idle_timeout = self.idle_timeout();
         let now = Instant::now();
-        let nothing = DriverEvent::ProbeFinished { upstream, response: None };
+        let no_response = DriverEvent::ProbeFinished { upstream, response: None };
         let Some(server) = self.upstreams.get_mut(upstream) else {
-            let _ = self.events.send(nothing);
+            let _ = self.event_sender.send(no_response);
             return;
         };
         let (address, incarnation) = (server.address, server.incarnation);
-        let source = match server.pool.take(limit) {
+        let source = match server.pool.take(idle_timeout) {
             Some(connection) => ProbeConnection::Idle(Box::new(connection)),
-            None => match self.permit() {
+            None => match self.acquire_connection_permit() {
                 Some(permit) => {
-                    let by = now + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
-                    ProbeConnection::Connect(address, by, permit, self.descriptors.clone())
+                    let connect_deadline =
+                        now + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
+                    ProbeConnection::Connect(address, connect_deadline, permit, self.descriptors.clone())
                 }
                 None => {
-                    let _ = self.events.send(nothing);
+                    let _ = self.event_sender.send(no_response);
                     return;
                 }
             },
         };
-        let path = if self.columns.is_empty() { "/alive" } else { "/metrics/load" };
+        let path = if self.report_columns.is_empty() { "/alive" } else { "/metrics/load" };
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = Uri::from_static(path);
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
@@ -664,45 +712,46 @@
             request,
             upstream,
             incarnation,
-            now + self.probe_time,
-            self.events.clone(),
+            now + self.probe_timeout,
+            self.event_sender.clone(),
         ));
     }
 
-    // --- The list ----------------------------------------------------------------------------
+    // --- Host list ---------------------------------------------------------------------------
 
-    fn listed(&mut self, list: &HostList, restored: bool) {
-        self.seq = list.seq;
-        self.moving = false;
+    /// Applies a host list or a change of it. `restored` marks the list that was saved before a restart.
+    fn apply_host_list(&mut self, list: &HostList, restored: bool) {
+        self.list_seq = list.seq;
+        self.reload_watch_pending = false;
         let whole = list.whole || restored;
-        let now = self.millis(Instant::now());
-        let listings = self.upstreams.apply_list(list, whole, &self.settings, now);
-        self.frontend.ready.fetch_or(!listings.is_empty() || (whole && !restored), Ordering::Relaxed);
-        self.event(Event::DiscoveryUpdated(match (restored, whole) {
-            (true, _) => DiscoveryUpdate::Restored(listings),
-            (false, true) => DiscoveryUpdate::Snapshot(listings),
-            (false, false) => DiscoveryUpdate::Delta(listings),
+        let now = self.module_time(Instant::now());
+        let records = self.upstreams.apply_list(list, whole, &self.settings, now);
+        self.frontend.ready.fetch_or(!records.is_empty() || (whole && !restored), Ordering::Relaxed);
+        self.notify_module(Event::DiscoveryUpdated(match (restored, whole) {
+            (true, _) => DiscoveryUpdate::Restored(records),
+            (false, true) => DiscoveryUpdate::Snapshot(records),
+            (false, false) => DiscoveryUpdate::Delta(records),
         }));
     }
 }
 
-/// The request as it goes to an upstream, which has so much time left for it when it is written.
-fn outgoing(
+/// Builds the request to an upstream. `time_left` is the time until the attempt's deadline when it is written.
+fn upstream_request(
     forwarded: &ForwardedRequest,
     address: Option<SocketAddr>,
-    left: Duration,
+    time_left: Duration,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.target.clone();
     let mut headers = forwarded.headers.clone();
-    // The application's own Host goes on with its other headers; HTTP/1.1 wants one in any case.
+    // HTTP/1.1 requires a Host header. One that the client sent is forwarded with its other headers.
     let host = address.filter(|_| !headers.contains_key(header::HOST));
     if let Some(host) = host.and_then(|address| HeaderValue::from_str(&address.to_string()).ok()) {
         headers.insert(header::HOST, host);
     }
-    let left = left.as_millis().max(1) as u64;
-    headers.insert("x-timeout-ms", HeaderValue::from(left));
+    let timeout_ms = time_left.as_millis().max(1) as u64;
+    headers.insert("x-timeout-ms", HeaderValue::from(timeout_ms));
     if forwarded.method != Method::GET || !forwarded.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(forwarded.body.len()));
     }
@@ -710,8 +759,8 @@
     request
 }
 
-/// An upstream's headers as they go on to the client.
-fn client_headers(headers: &HeaderMap) -> HeaderMap {
+/// Copies the headers of an upstream's response that are forwarded to the client.
+fn forwarded_response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = end_to_end_headers(headers);
     kept.remove("x-server-load");
     kept
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The sidecar on real sockets. One thread; the driver alone owns the module, and everything else tells it
-//! what happened through a channel.
+//! The network layer of the sidecar. All tasks run on one thread. The driver owns the decision module, and all other
+//! tasks send it events through a channel.
 
 pub mod client;
 pub mod client_stream;
--- a/src/net/upstream_connection.rs
+++ b/src/net/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, and the one exchange at a time that each carries: attempts and probes.
+//! Connections to upstreams. Each carries one exchange at a time: an attempt or a probe.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Weak};
@@ -22,26 +22,25 @@
 
 /// Limit on the size of request and response bodies.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Room for a head; hyper also reads bodies through it.
-const BUFFER_BYTES: usize = 32 << 10;
-/// Once an answer has begun, its bytes follow each other: it is small and made before it is sent. When none has
-/// come in two such spans in a row, what is missing is not on its way.
-const STALL: Duration = Duration::from_millis(15);
-/// A connection carries no other request so soon after an answer: a server may send a second one some milliseconds
-/// behind it, and what comes once the next request has begun would be taken for that one's. 4 ms is the longest
-/// seen; the way between zones makes it longer. To wait so long costs less than to open another.
-const QUIET: Duration = Duration::from_millis(15);
-/// How long a connection may take to become ready for the next request once an answer was read.
-const SETTLE: Duration = Duration::from_millis(100);
+/// Limit on the size of a response head; hyper also reads bodies through a buffer of this size.
+const MAX_BUFFER_BYTES: usize = 32 << 10;
+/// A response that has started counts as stalled after two such intervals in a row without a new byte. Responses are
+/// small, and upstreams complete them before they send them.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(15);
+/// How long a connection carries no other request after a response. An upstream may send a second, unsolicited response
+/// shortly after the first; it would be taken for the response to the next request.
+const QUARANTINE_AFTER_RESPONSE: Duration = Duration::from_millis(15);
+/// How long a connection may take to become ready for the next request after a response was read.
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An open connection. It is closed when this is dropped; [`Connection::close`] waits until it is.
+/// An open connection. Dropping it closes the socket soon after; [`Connection::close`] waits until the socket is closed.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     progress: Arc<ExchangeProgress>,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub used: bool,
-    /// Since when it has carried nothing.
+    /// When the last exchange ended, or when the connection was opened.
     pub idle_since: Instant,
     _permit: OwnedSemaphorePermit,
 }
@@ -59,42 +58,42 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(ConnectError::Failed(format!("cannot connect: {error}"))),
             Err(_) if exhausted => return Err(ConnectError::OutOfDescriptors),
-            Err(_) => return Err(ConnectError::Failed("connecting took too long".to_owned())),
+            Err(_) => return Err(ConnectError::Failed("connect timed out".to_owned())),
         };
-        // Without it the kernel may hold back a small request.
+        // Nagle's algorithm may delay small requests.
         stream.set_nodelay(true).map_err(|error| ConnectError::Failed(error.to_string()))?;
         let (stream, progress) = UpstreamStream::new(stream);
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_BYTES)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| ConnectError::Failed(error.to_string()))?;
         let task = tokio::spawn(async move {
-            // How an exchange failed shows at the exchange.
+            // Errors are reported by the exchange that fails.
             let _ = connection.await;
         });
         Ok(Connection { sender, task, progress, used: false, idle_since: Instant::now(), _permit: permit })
     }
 
-    /// Whether it can take a request now, as far as this side knows.
+    /// Whether the connection is open and free, as far as is known on this side.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// The earliest time at which the next request may be written to it.
+    /// The earliest time at which the next request may be written.
     pub fn reusable_at(&self) -> Instant {
-        if self.used { self.idle_since + QUIET } else { self.idle_since }
+        if self.used { self.idle_since + QUARANTINE_AFTER_RESPONSE } else { self.idle_since }
     }
 
-    /// Closes it; when this returns, the socket is closed.
+    /// Closes the connection and waits until the socket is closed.
     pub async fn close(mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 
-    /// Waits until the next request can be sent. `None` if the upstream closes it.
-    async fn settle(mut self) -> Option<Connection> {
-        timeout(SETTLE, self.sender.ready()).await.ok()?.ok()?;
+    /// Waits until the connection is free for the next request. `None` if the upstream closes it or on a timeout.
+    async fn wait_until_ready(mut self) -> Option<Connection> {
+        timeout(READY_TIMEOUT, self.sender.ready()).await.ok()?.ok()?;
         self.used = true;
         self.idle_since = Instant::now();
         Some(self)
@@ -111,125 +110,136 @@
 pub enum ConnectError {
     /// Connecting failed for the reason given.
     Failed(String),
-    /// This process had no free file descriptor: not a fault of the upstream.
+    /// This process had no free file descriptor; the upstream is not at fault.
     OutOfDescriptors,
-    /// The attempt was given up while connecting.
+    /// The attempt was cancelled while connecting.
     Cancelled,
 }
 
-/// A complete response of an upstream.
+/// A complete response from an upstream.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// All headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
-enum Broken {
-    /// Nothing was written, since nobody waits for the answer.
-    Unwanted,
-    /// The request's last byte was never written: it has not run.
-    Unsent,
-    /// It may have run.
-    Cut,
-    /// An answer came that cannot be taken for one; the request may have run.
-    Unfit(&'static str),
+/// Why an exchange returned no response.
+enum ExchangeError {
+    /// The client disconnected before anything was written.
+    ClientDisconnected,
+    /// The connection broke before the request was written completely: the request has not run.
+    RequestIncomplete,
+    /// The connection broke after the request was written: the request may have run.
+    ConnectionLost,
+    /// The response is invalid for the reason given; the request may have run.
+    InvalidResponse(&'static str),
 }
 
-/// The bytes that a request takes on the wire at least. Fewer written mean that its last byte was not.
-fn least_size(request: &Request<Full<Bytes>>, body: usize) -> u64 {
+/// The minimum size of a request on the wire. If fewer bytes were written, the request is incomplete.
+fn min_request_bytes(request: &Request<Full<Bytes>>, body_len: usize) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
-    let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
+    let request_line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
     let headers: usize =
         request.headers().iter().map(|(name, value)| name.as_str().len() + 2 + value.len() + 2).sum();
-    (line + headers + 2 + body) as u64
+    (request_line + headers + 2 + body_len) as u64
 }
 
-/// Tells from its head that an answer cannot be read whole, or that two readers would differ on where it ends.
-fn unfit(head: &hyper::http::response::Parts) -> Option<&'static str> {
+/// Returns why the body of a response must not be read: its end is ambiguous, or it is too long.
+fn framing_error(head: &hyper::http::response::Parts) -> Option<&'static str> {
     let headers = &head.headers;
     let length = headers.get(header::CONTENT_LENGTH);
     match (head.status, length, headers.contains_key(header::TRANSFER_ENCODING)) {
-        (StatusCode::SWITCHING_PROTOCOLS, ..) => Some("an answer that leaves HTTP"),
-        (_, Some(_), true) => Some("an answer with two framings"),
-        // It ends with the connection: nothing tells a whole one from one that broke off.
-        (StatusCode::OK, None, false) => Some("an answer of no stated length"),
+        (StatusCode::SWITCHING_PROTOCOLS, ..) => Some("response switches protocols"),
+        (_, Some(_), true) => Some("response has both Content-Length and Transfer-Encoding"),
+        // The body ends with the connection, so a truncated one cannot be detected.
+        (StatusCode::OK, None, false) => Some("response has neither Content-Length nor Transfer-Encoding"),
         (_, Some(length), false)
-            if length.to_str().ok().and_then(|l| l.parse().ok()) > Some(MAX_BODY_BYTES) =>
+            if length.to_str().ok().and_then(|text| text.parse().ok()) > Some(MAX_BODY_BYTES) =>
         {
-            Some("an answer that is too long")
+            Some("response body is too long")
         }
         _ => None,
     }
 }
 
-/// Sends a request once the connection is quiet, if it is still `wanted` then, and reads its answer whole.
+/// Sends a request and reads the complete response. Waits first until the connection may be reused, and sends nothing
+/// unless `client_connected` returns true then. `request_end` is the number of bytes written on the connection at which
+/// the request is complete.
 async fn exchange(
     connection: &mut Connection,
     mut request: Request<Full<Bytes>>,
-    complete_at: u64,
-    wanted: impl FnOnce() -> bool,
-) -> Result<UpstreamResponse, Broken> {
+    request_end: u64,
+    client_connected: impl FnOnce() -> bool,
+) -> Result<UpstreamResponse, ExchangeError> {
     let reusable_at = connection.reusable_at();
     if reusable_at > Instant::now() {
         sleep_until(reusable_at).await;
     }
-    if !wanted() {
-        return Err(Broken::Unwanted);
+    if !client_connected() {
+        return Err(ExchangeError::ClientDisconnected);
     }
     let Connection { sender, progress, .. } = connection;
-    let broken = || if progress.bytes_written() < complete_at { Broken::Unsent } else { Broken::Cut };
-    let notices = progress.clone();
-    hyper::ext::on_informational(&mut request, move |_| notices.mark_response_pending());
-    let response = sender.send_request(request).await.map_err(|_| broken())?;
+    let connection_error = || {
+        if progress.bytes_written() < request_end {
+            ExchangeError::RequestIncomplete
+        } else {
+            ExchangeError::ConnectionLost
+        }
+    };
+    let informational_progress = progress.clone();
+    hyper::ext::on_informational(&mut request, move |_| informational_progress.mark_response_pending());
+    let response = sender.send_request(request).await.map_err(|_| connection_error())?;
     progress.mark_response_started();
     let (head, body): (_, hyper::body::Incoming) = Response::into_parts(response);
-    if let Some(reason) = unfit(&head) {
-        return Err(Broken::Unfit(reason));
+    if let Some(reason) = framing_error(&head) {
+        return Err(ExchangeError::InvalidResponse(reason));
     }
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => {
             progress.mark_response_complete();
             Ok(UpstreamResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
         }
-        Err(error) if error.is::<LengthLimitError>() => Err(Broken::Unfit("an answer that is too long")),
-        Err(_) => Err(broken()),
+        Err(error) if error.is::<LengthLimitError>() => {
+            Err(ExchangeError::InvalidResponse("response body is too long"))
+        }
+        Err(_) => Err(connection_error()),
     }
 }
 
-/// Comes back when an answer that has begun comes no further.
-async fn stalled(progress: &ExchangeProgress) {
+/// Returns once a response has started and then stalled.
+async fn wait_for_stall(progress: &ExchangeProgress) {
     loop {
         progress.response_started().await;
-        let mut still = 0;
-        let mut read = progress.bytes_read();
-        while still < 2 {
-            sleep(STALL).await;
-            let now = progress.bytes_read();
-            (still, read) = if now == read { (still + 1, read) } else { (0, now) };
+        let mut idle_intervals = 0;
+        let mut last_read = progress.bytes_read();
+        while idle_intervals < 2 {
+            sleep(STALL_CHECK_INTERVAL).await;
+            let read = progress.bytes_read();
+            (idle_intervals, last_read) =
+                if read == last_read { (idle_intervals + 1, last_read) } else { (0, read) };
         }
-        // A notice ahead of the answer may have ended meanwhile.
+        // What was read may have been an informational response, complete by now.
         if progress.is_reading_response() {
             return;
         }
     }
 }
 
-/// What an answer means for the attempt.
+/// The outcome of an attempt that received this response.
 fn outcome_of(response: &UpstreamResponse) -> Outcome {
-    let not_run = response.headers.get("x-not-processed").is_some_and(|value| value == "1");
+    let not_processed = response.headers.get("x-not-processed").is_some_and(|value| value == "1");
     match response.status {
         StatusCode::OK => Outcome::Ok,
-        // Without the mark nothing says that it never ran.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Rejected,
-        // About this sidecar's pace or the upstream's patience, not about the request.
+        // Without the header the request may have run.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Outcome::Rejected,
+        // Caused by the sidecar's request rate or by the upstream's own timeout, not by the request itself.
         StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => Outcome::Error,
-        // The client's fault: it must not count against the upstream, and another would say the same. What ends
-        // so tells the module nothing.
+        // An error of the client: other upstreams would respond alike, and it must not count against this one. The
+        // module draws no conclusion from a cancelled attempt.
         status if status.is_client_error() => Outcome::Cancelled,
         _ => Outcome::Error,
     }
@@ -237,7 +247,7 @@
 
 /// The result of an attempt.
 pub enum AttemptResult {
-    /// It ended with this outcome, and with a response if one was read.
+    /// The outcome, with the response if one was read.
     Outcome(Outcome, Option<UpstreamResponse>),
     /// The idle connection had been closed and no byte was written: the attempt may use another connection.
     StaleConnection,
@@ -245,60 +255,68 @@
     ClientDisconnected,
 }
 
-/// Carries out one attempt over a connection until it ends or times out, or until `give_up` is dropped or used.
+/// Runs one attempt over a connection until it ends or times out, or until the sender of `cancelled` is dropped or used.
 pub async fn run_attempt(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
     body_len: usize,
     client: Weak<DisconnectDetector>,
     in_flight: InFlightAttempt,
-    give_up: oneshot::Receiver<()>,
+    cancelled: oneshot::Receiver<()>,
     events: mpsc::UnboundedSender<DriverEvent>,
 ) {
     let progress = connection.progress.clone();
-    let before = progress.bytes_written();
-    let complete_at = before + least_size(&request, body_len);
-    let (result, keep) = {
+    let written_before = progress.bytes_written();
+    let request_end = written_before + min_request_bytes(&request, body_len);
+    let (result, reusable) = {
         let used = connection.used;
-        let wanted = || client.upgrade().is_some_and(|client| !client.is_disconnected());
-        let exchange = exchange(&mut connection, request, complete_at, wanted);
+        let client_connected = || client.upgrade().is_some_and(|client| !client.is_disconnected());
+        let exchange = exchange(&mut connection, request, request_end, client_connected);
         tokio::select! {
             biased;
             result = exchange => match result {
                 Ok(response) => (AttemptResult::Outcome(outcome_of(&response), Some(response)), true),
-                Err(Broken::Unwanted) => (AttemptResult::ClientDisconnected, false),
-                Err(Broken::Unsent) if used && progress.bytes_written() == before =>
-                    (AttemptResult::StaleConnection, false),
-                Err(Broken::Unsent) => (AttemptResult::Outcome(Outcome::Unreachable, None), false),
-                Err(Broken::Cut) => (AttemptResult::Outcome(Outcome::Reset, None), false),
-                Err(Broken::Unfit(reason)) => {
+                Err(ExchangeError::ClientDisconnected) => (AttemptResult::ClientDisconnected, false),
+                Err(ExchangeError::RequestIncomplete) if used && progress.bytes_written() == written_before => {
+                    (AttemptResult::StaleConnection, false)
+                }
+                Err(ExchangeError::RequestIncomplete) => {
+                    (AttemptResult::Outcome(Outcome::Unreachable, None), false)
+                }
+                Err(ExchangeError::ConnectionLost) => (AttemptResult::Outcome(Outcome::Reset, None), false),
+                Err(ExchangeError::InvalidResponse(reason)) => {
                     log::line(format!("upstream {}: {reason}", in_flight.upstream.0));
                     (AttemptResult::Outcome(Outcome::Error, None), false)
                 }
             },
-            () = stalled(&progress) => {
-                log::line(format!("upstream {}: an answer that does not end", in_flight.upstream.0));
+            () = wait_for_stall(&progress) => {
+                log::line(format!("upstream {}: response stalled", in_flight.upstream.0));
                 (AttemptResult::Outcome(Outcome::Error, None), false)
             }
-            _ = give_up => (AttemptResult::Outcome(Outcome::Cancelled, None), false),
+            _ = cancelled => (AttemptResult::Outcome(Outcome::Cancelled, None), false),
             () = sleep_until(in_flight.deadline) => (AttemptResult::Outcome(Outcome::TimedOut, None), false),
         }
     };
     if matches!(result, AttemptResult::ClientDisconnected) {
         let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
-        // As it was before: it has carried nothing.
-        return give_back(Some(connection), in_flight.upstream, in_flight.incarnation, &events);
+        // Nothing was written, so the connection can be reused as it is.
+        return return_connection(Some(connection), in_flight.upstream, in_flight.incarnation, &events);
     }
-    if keep {
+    if reusable {
         let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
-        give_back(connection.settle().await, in_flight.upstream, in_flight.incarnation, &events);
+        return_connection(
+            connection.wait_until_ready().await,
+            in_flight.upstream,
+            in_flight.incarnation,
+            &events,
+        );
         return;
     }
-    // Closed before the driver hears of it: the next attempt must not go out while this one may still run.
+    // Close the connection before reporting the end: no other attempt may start while this one can still run.
     connection.close().await;
     let result = match result {
-        // The last byte was never written and now never will be.
-        AttemptResult::Outcome(Outcome::TimedOut, None) if progress.bytes_written() < complete_at => {
+        // The request was not written completely, so it has not run.
+        AttemptResult::Outcome(Outcome::TimedOut, None) if progress.bytes_written() < request_end => {
             AttemptResult::Outcome(Outcome::Unreachable, None)
         }
         result => result,
@@ -317,24 +335,25 @@
 ) {
     let opened = match source {
         ProbeConnection::Idle(connection) => Ok(*connection),
-        ProbeConnection::Connect(address, by, permit, descriptors) => {
-            Connection::open(address, by.min(deadline), permit, &descriptors).await
+        ProbeConnection::Connect(address, connect_deadline, permit, descriptors) => {
+            Connection::open(address, connect_deadline.min(deadline), permit, &descriptors).await
         }
     };
     let mut response = None;
     if let Ok(mut connection) = opened {
         let result = timeout_at(deadline, exchange(&mut connection, request, 0, || true)).await;
-        if let Ok(Ok(got)) = result {
-            response = Some(got);
+        if let Ok(Ok(received)) = result {
+            response = Some(received);
             let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
-            return give_back(connection.settle().await, upstream, incarnation, &events);
+            return return_connection(connection.wait_until_ready().await, upstream, incarnation, &events);
         }
         connection.close().await;
     }
     let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
 }
 
-fn give_back(
+/// Hands a connection back to the driver, unless it was closed.
+fn return_connection(
     connection: Option<Connection>,
     upstream: UpstreamId,
     incarnation: u64,
@@ -353,7 +372,7 @@
 pub enum ProbeConnection {
     /// An idle connection of the pool.
     Idle(Box<Connection>),
-    /// A new connection to this address, to be opened by this time.
+    /// A new connection: the address, the connect deadline, and what is needed to open it.
     Connect(SocketAddr, Instant, OwnedSemaphorePermit, Arc<Descriptors>),
 }
 
@@ -364,38 +383,39 @@
 }
 
 impl ConnectionPool {
-    /// Takes the one used last of those that have been quiet for long enough, so that the others can grow old and
-    /// close; else the one that will be first.
-    pub fn take(&mut self, idle_limit: Duration) -> Option<Connection> {
-        self.close_expired(idle_limit);
+    /// Takes the most recently used connection that may be reused now, so that surplus connections reach the idle
+    /// timeout. If there is none, takes the connection that may be reused first.
+    pub fn take(&mut self, idle_timeout: Duration) -> Option<Connection> {
+        self.close_expired(idle_timeout);
         let now = Instant::now();
-        let at = self.idle.iter().rposition(|connection| connection.reusable_at() <= now).unwrap_or(0);
-        (at < self.idle.len()).then(|| self.idle.remove(at))
+        let index = self.idle.iter().rposition(|connection| connection.reusable_at() <= now).unwrap_or(0);
+        (index < self.idle.len()).then(|| self.idle.remove(index))
     }
 
-    /// Takes one back.
+    /// Returns a connection to the pool.
     pub fn put(&mut self, connection: Connection) {
         self.idle.push(connection);
     }
 
-    /// Closes connections that the upstream has closed or that have been idle for `idle_limit`.
-    pub fn close_expired(&mut self, idle_limit: Duration) {
-        self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_limit);
+    /// Closes connections that the upstream has closed or that have been idle for `idle_timeout`.
+    pub fn close_expired(&mut self, idle_timeout: Duration) {
+        self.idle
+            .retain(|connection| connection.is_usable() && connection.idle_since.elapsed() < idle_timeout);
     }
 
-    /// Since when the longest idle connection has been idle.
+    /// Since when the connection that has been idle longest has been idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(|connection| connection.idle_since)
     }
 
-    /// Closes the longest idle connection.
+    /// Closes the connection that has been idle longest.
     pub fn close_oldest(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
         }
     }
 
-    /// Closes all.
+    /// Closes all idle connections.
     pub fn clear(&mut self) {
         self.idle.clear();
     }
--- a/src/net/upstream_registry.rs
+++ b/src/net/upstream_registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams that discovery names: their ids for the module, their connections, and when they are forgotten.
+//! The registry of upstreams listed by discovery: their ids in the decision module and their idle connections.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,25 +11,27 @@
 
 /// An upstream listed by discovery.
 pub struct RegisteredUpstream {
-    /// Its name.
+    /// Its host name.
     pub host: String,
-    /// Its entry as given to the decision module.
-    pub listing: UpstreamRecord,
+    /// Its entry as passed to the decision module.
+    pub record: UpstreamRecord,
     /// The address that it listens on.
     pub address: SocketAddr,
     /// Incremented when its address or its start time changes: connections are not reused across incarnations.
     pub incarnation: u64,
     /// Its idle connections.
     pub pool: ConnectionPool,
-    born_ms: f64,
-    /// Whether it is no more: it is forgotten as soon as nothing is out on it.
+    /// When it last started, in Unix milliseconds.
+    start_unix_ms: f64,
+    /// Whether it has terminated. It is removed once it has no attempt in flight.
     gone: bool,
 }
 
 impl RegisteredUpstream {
-    /// Marks it as gone and closes its idle connections. Connections that are returned later are closed as well.
+    /// Marks the upstream as gone and closes its idle connections. Connections that are returned later are closed as
+    /// well, since the upstream is no longer serving.
     fn mark_gone(&mut self) {
-        self.listing.lifecycle = Lifecycle::Draining;
+        self.record.lifecycle = Lifecycle::Draining;
         self.gone = true;
         self.pool.clear();
     }
@@ -40,7 +42,7 @@
     ids: HashMap<String, UpstreamId>,
     by_id: BTreeMap<UpstreamId, RegisteredUpstream>,
     last_id: u64,
-    /// Unix time at the driver's epoch, in milliseconds.
+    /// Unix time at the origin of the module's clock, in milliseconds.
     epoch_unix_ms: f64,
 }
 
@@ -50,22 +52,22 @@
         UpstreamRegistry { ids: HashMap::new(), by_id: BTreeMap::new(), last_id: 1, epoch_unix_ms }
     }
 
-    /// One of them.
+    /// Returns an upstream.
     pub fn get(&self, id: UpstreamId) -> Option<&RegisteredUpstream> {
         self.by_id.get(&id)
     }
 
-    /// The same, to change it.
+    /// Returns an upstream for modification.
     pub fn get_mut(&mut self, id: UpstreamId) -> Option<&mut RegisteredUpstream> {
         self.by_id.get_mut(&id)
     }
 
-    /// The idle connections to each.
+    /// The connection pools of all upstreams.
     pub fn pools(&mut self) -> impl Iterator<Item = &mut ConnectionPool> {
         self.by_id.values_mut().map(|server| &mut server.pool)
     }
 
-    /// Applies a whole list, or a change of it, and returns the module's form of its entries.
+    /// Applies a complete list or a change of it, and returns its entries in the form of the decision module.
     pub fn apply_list(
         &mut self,
         list: &HostList,
@@ -73,33 +75,33 @@
         settings: &SettingsObject,
         now: Millis,
     ) -> Vec<UpstreamRecord> {
-        let mut listings: Vec<UpstreamRecord> =
-            list.valid_hosts().map(|host| self.update(host, settings, now)).collect();
+        let mut records: Vec<UpstreamRecord> =
+            list.valid_hosts().map(|host| self.apply_host(host, settings, now)).collect();
         if whole {
-            // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.invalid_host_names().filter_map(|name| self.ids.get(name));
-            listings.extend(unread.filter_map(|id| self.by_id.get(id)).map(|server| server.listing.clone()));
-            let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
-            let missing = self.by_id.iter_mut().filter(|(id, _)| !named.contains(id));
+            // A host with an invalid entry is not missing from the list: its last record stays in use.
+            let invalid = list.invalid_host_names().filter_map(|name| self.ids.get(name));
+            records.extend(invalid.filter_map(|id| self.by_id.get(id)).map(|server| server.record.clone()));
+            let listed: HashSet<UpstreamId> = records.iter().map(|record| record.upstream).collect();
+            let missing = self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id));
             missing.for_each(|(_, server)| server.mark_gone());
         }
-        listings
+        records
     }
 
-    /// Takes in what discovery says of one host.
-    fn update(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> UpstreamRecord {
+    /// Applies one entry of a host list.
+    fn apply_host(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> UpstreamRecord {
         let id = *self.ids.entry(host.host.clone()).or_insert_with(|| {
             self.last_id += 1;
             UpstreamId(self.last_id)
         });
         let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
-        let known = self.by_id.get(&id).filter(|server| server.born_ms == host.born_ms);
-        // A start in the future, by another machine's clock, is one just now.
-        let started_at = match known {
-            Some(server) => server.listing.started_at,
+        let same_start = self.by_id.get(&id).filter(|server| server.start_unix_ms == host.born_ms);
+        // A start time in the future, caused by clock skew between machines, counts as now.
+        let started_at = match same_start {
+            Some(server) => server.record.started_at,
             None => (host.born_ms > 0.0).then(|| (host.born_ms - self.epoch_unix_ms).min(now)),
         };
-        let listing = UpstreamRecord {
+        let record = UpstreamRecord {
             upstream: id,
             zone: ZoneId(settings.zone_number(&host.site)),
             cell: CellId(host.block),
@@ -111,19 +113,19 @@
         };
         let server = self.by_id.entry(id).or_insert_with(|| RegisteredUpstream {
             host: host.host.clone(),
-            listing: listing.clone(),
+            record: record.clone(),
             address: host.dial,
             incarnation: 0,
             pool: ConnectionPool::default(),
-            born_ms: host.born_ms,
+            start_unix_ms: host.born_ms,
             gone: false,
         });
-        // Connections to another address or another life lead nowhere, or to the wrong process.
-        if server.address != host.dial || server.born_ms != host.born_ms {
+        // After a restart or a change of address, connections are broken or lead to another process.
+        if server.address != host.dial || server.start_unix_ms != host.born_ms {
             server.incarnation += 1;
             server.pool.clear();
         }
-        (server.address, server.born_ms, server.listing) = (host.dial, host.born_ms, listing.clone());
+        (server.address, server.start_unix_ms, server.record) = (host.dial, host.born_ms, record.clone());
         server.gone = false;
         if lifecycle == Lifecycle::Draining {
             server.pool.clear();
@@ -131,15 +133,15 @@
         if host.health == Health::Gone {
             server.mark_gone();
         }
-        listing
+        record
     }
 
-    /// Removes upstreams that are gone and have no attempt in flight: replacements keep coming under new names.
-    /// A name that is listed again later is treated as a new upstream.
-    pub fn remove_gone(&mut self, busy: impl Iterator<Item = UpstreamId>) {
+    /// Removes upstreams that are gone and not in `in_use`, so that the registry does not grow as hosts are replaced
+    /// under new names. A name that is listed again later is treated as a new upstream.
+    pub fn remove_gone(&mut self, in_use: impl Iterator<Item = UpstreamId>) {
         if self.by_id.values().any(|server| server.gone) {
-            let busy: HashSet<UpstreamId> = busy.collect();
-            self.by_id.retain(|id, server| !server.gone || busy.contains(id));
+            let in_use: HashSet<UpstreamId> = in_use.collect();
+            self.by_id.retain(|id, server| !server.gone || in_use.contains(id));
             self.ids.retain(|_, id| self.by_id.contains_key(id));
         }
     }
--- a/tests/unit/net_upstream_registry.rs
+++ b/tests/unit/net_upstream_registry.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/net/upstream_registry.rs`, whose module takes this file in.
+//! Unit tests of `src/net/upstream_registry.rs`, which includes this file as its `tests` module.
 
 use super::*;
 
@@ -9,12 +9,13 @@
     serde_json::from_str(text).unwrap()
 }
 
-/// How many names and how many servers are known.
-fn known(registry: &UpstreamRegistry) -> (usize, usize) {
+/// The number of names and of upstreams in the registry.
+fn entry_counts(registry: &UpstreamRegistry) -> (usize, usize) {
     (registry.ids.len(), registry.by_id.len())
 }
 
-fn change(host: usize, health: &str) -> HostList {
+/// A list with a single entry.
+fn host_list(host: usize, health: &str) -> HostList {
     let text = format!(
         r#"{{"seq":1,"hosts":[{{"host":"h{host}","dial":"127.0.0.1:1","health":"{health}","born_ms":5}}]}}"#
     );
@@ -22,32 +23,32 @@
 }
 
 #[test]
-fn the_gone_are_forgotten_once_nothing_is_out_on_them() {
+fn gone_upstreams_are_removed_once_no_attempt_is_in_flight() {
     let (mut registry, settings) = (UpstreamRegistry::new(0.0), settings());
     let mut ids = HashSet::new();
     for host in 0..100 {
-        let [listing] = &registry.apply_list(&change(host, "ready"), false, &settings, 9.0)[..] else {
-            panic!("one entry, one listing")
+        let [record] = &registry.apply_list(&host_list(host, "ready"), false, &settings, 9.0)[..] else {
+            panic!("expected one record")
         };
-        assert!(ids.insert(listing.upstream), "ids are not used again");
-        assert_eq!(listing.started_at, Some(5.0), "one at the address of another starts cold");
-        registry.apply_list(&change(host, "gone"), false, &settings, 9.0);
-        registry.remove_gone(std::iter::once(listing.upstream));
-        assert_eq!(known(&registry), (1, 1), "an attempt is still out on it");
+        assert!(ids.insert(record.upstream), "upstream id was reused");
+        assert_eq!(record.started_at, Some(5.0), "a new host at a known address has a start time");
+        registry.apply_list(&host_list(host, "gone"), false, &settings, 9.0);
+        registry.remove_gone(std::iter::once(record.upstream));
+        assert_eq!(entry_counts(&registry), (1, 1), "removed with an attempt in flight");
         registry.remove_gone(std::iter::empty());
-        assert_eq!(known(&registry), (0, 0));
+        assert_eq!(entry_counts(&registry), (0, 0));
     }
 }
 
 #[test]
-fn one_that_drains_is_kept_and_one_that_is_missing_from_a_whole_list_is_not() {
+fn draining_upstreams_are_kept_and_upstreams_missing_from_a_complete_list_are_removed() {
     let (mut registry, settings) = (UpstreamRegistry::new(0.0), settings());
-    registry.apply_list(&change(1, "ready"), false, &settings, 9.0);
-    registry.apply_list(&change(1, "draining"), false, &settings, 9.0);
+    registry.apply_list(&host_list(1, "ready"), false, &settings, 9.0);
+    registry.apply_list(&host_list(1, "draining"), false, &settings, 9.0);
     registry.remove_gone(std::iter::empty());
-    assert_eq!(known(&registry), (1, 1));
-    registry.apply_list(&change(2, "ready"), true, &settings, 9.0);
+    assert_eq!(entry_counts(&registry), (1, 1));
+    registry.apply_list(&host_list(2, "ready"), true, &settings, 9.0);
     registry.remove_gone(std::iter::empty());
-    assert_eq!(known(&registry), (1, 1), "of the two only the second");
+    assert_eq!(entry_counts(&registry), (1, 1), "only the listed upstream is kept");
     assert!(registry.by_id.values().all(|server| server.host == "h2"));
 }
