--- a/src/main.rs
+++ b/src/main.rs
@@ -101,8 +101,8 @@
     Ok(())
 }
 
-/// Reloads the configuration on SIGHUP. If it cannot be loaded, it is read again with backoff until it is valid, and the
-/// old configuration stays in use.
+/// Reloads the configuration on SIGHUP. One that cannot be loaded is read again with backoff until it is valid;
+/// meanwhile the old configuration stays in use.
 async fn reload_on_hangup(
     mut hangup: Signal,
     listen_address: SocketAddr,
--- a/src/net/upstream_connection.rs
+++ b/src/net/upstream_connection.rs
@@ -33,7 +33,7 @@
 /// How long a connection may take to become ready for the next request after a response was read.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An open connection. Dropping it closes the socket soon after; [`Connection::close`] waits until the socket is closed.
+/// An open connection. Dropping it closes the socket soon after; [`Connection::close`] waits until it is closed.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
@@ -255,7 +255,7 @@
     ClientDisconnected,
 }
 
-/// Runs one attempt over a connection until it ends or times out, or until the sender of `cancelled` is dropped or used.
+/// Runs one attempt over a connection until it ends, times out, or the sender of `cancelled` is dropped or used.
 pub async fn run_attempt(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar as a process on loopback sockets: what it sends, and what it answers.
+//! End-to-end tests of the sidecar process on loopback sockets.
 
 mod loopback;
 
@@ -10,42 +10,43 @@
 
 use loopback::*;
 
-/// All requests that reached any of these.
-fn total(upstreams: &[&Upstream]) -> usize {
+/// The number of requests that the upstreams have received together.
+fn request_count(upstreams: &[&Upstream]) -> usize {
     upstreams.iter().map(|upstream| upstream.requests().len()).sum()
 }
 
-/// One that treats the first request of all of its kind so, and serves later ones.
+/// Two upstreams. The first request that either of them receives gets this behaviour, all later ones a 200 response.
 fn first_then_ok(first: Behaviour) -> [Upstream; 2] {
-    let count = Arc::new(AtomicUsize::new(0));
+    let received = Arc::new(AtomicUsize::new(0));
     [0, 1].map(|_| {
-        let (count, first) = (count.clone(), first.clone());
+        let (received, first) = (received.clone(), first.clone());
         Upstream::new(move |_| {
-            if count.fetch_add(1, Ordering::SeqCst) == 0 { first.clone() } else { Behaviour::ok("served") }
+            if received.fetch_add(1, Ordering::SeqCst) == 0 { first.clone() } else { Behaviour::ok("served") }
         })
     })
 }
 
 #[test]
-fn a_request_goes_on_and_comes_back_unchanged() {
-    let upstream = Upstream::new(|m| Behaviour::Respond(200, "X-Note: kept\r\n", m.body.repeat(1_000)));
+fn requests_and_responses_are_forwarded_unchanged() {
+    let upstream =
+        Upstream::new(|message| Behaviour::Respond(200, "X-Note: kept\r\n", message.body.repeat(1_000)));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut client = Client::connect(sidecar.address);
-    let answer = client.exchange("log");
-    assert_eq!((answer.status(), answer.body), (200, b"entry".repeat(1_000)));
-    let got = upstream.requests().remove(0);
-    assert_eq!(got.start_line, "POST /log?k=7f3a9c21 HTTP/1.1");
-    assert_eq!(got.body, b"entry");
-    assert_eq!(got.header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
-    assert_eq!(got.header("x-request-id").map(str::len), Some(16));
-    let left: u64 = got.header("x-timeout-ms").unwrap().parse().unwrap();
-    assert!((1..=6_000).contains(&left));
+    let response = client.exchange("log");
+    assert_eq!((response.status(), response.body), (200, b"entry".repeat(1_000)));
+    let forwarded = upstream.requests().remove(0);
+    assert_eq!(forwarded.start_line, "POST /log?k=7f3a9c21 HTTP/1.1");
+    assert_eq!(forwarded.body, b"entry");
+    assert_eq!(forwarded.header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
+    assert_eq!(forwarded.header("x-request-id").map(str::len), Some(16));
+    let timeout_ms: u64 = forwarded.header("x-timeout-ms").unwrap().parse().unwrap();
+    assert!((1..=6_000).contains(&timeout_ms));
     assert_eq!(client.exchange("fetch").status(), 200);
     assert_eq!(upstream.requests()[1].start_line, "GET /fetch?k=7f3a9c21 HTTP/1.1");
 }
 
 #[test]
-fn connections_are_used_again() {
+fn upstream_connections_are_reused() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut client = Client::connect(sidecar.address);
@@ -53,57 +54,57 @@
         assert_eq!(client.exchange("bill").status(), 200);
     }
     assert_eq!(upstream.requests().len(), 50);
-    // A probe and a request may be out together; 50 requests in a row need no third connection, but one may
-    // be asked for just before the last is given back.
+    // A probe and a request may be in flight together. Sequential requests need no more connections, but one may be
+    // opened just before the previous one is returned to the pool.
     assert!(upstream.connections() <= 4, "{} connections", upstream.connections());
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_when_it_must_not() {
-    for deed in [
+fn non_idempotent_requests_that_may_have_run_are_not_retried() {
+    for behaviour in [
         Behaviour::Close,
         Behaviour::TruncateResponse,
         Behaviour::Respond(500, "", vec![]),
         Behaviour::Respond(503, "", vec![]),
     ] {
-        let [a, b] = first_then_ok(deed);
+        let [a, b] = first_then_ok(behaviour);
         let (sidecar, _discovery) = Sidecar::for_upstreams(&[&a, &b]);
-        let answer = Client::connect(sidecar.address).exchange("bill");
-        assert_eq!(answer.status(), 502, "a failure promises nothing; a refusal would");
-        assert_eq!(total(&[&a, &b]), 1);
+        let response = Client::connect(sidecar.address).exchange("bill");
+        assert_eq!(response.status(), 502, "a 503 would allow the client to retry");
+        assert_eq!(request_count(&[&a, &b]), 1);
         assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
     }
 }
 
 #[test]
-fn what_never_ran_is_sent_again() {
+fn unprocessed_requests_are_retried() {
     let [a, b] = first_then_ok(Behaviour::Respond(503, "X-Not-Processed: 1\r\n", vec![]));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&a, &b]);
     assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
-    assert_eq!(total(&[&a, &b]), 2);
+    assert_eq!(request_count(&[&a, &b]), 2);
 }
 
 #[test]
-fn a_torn_answer_is_never_passed_on() {
+fn truncated_responses_are_not_forwarded() {
     let [a, b] = first_then_ok(Behaviour::TruncateResponse);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&a, &b]);
-    let answer = Client::connect(sidecar.address).exchange("fetch");
-    assert_eq!((answer.status(), answer.body), (200, b"served".to_vec()));
+    let response = Client::connect(sidecar.address).exchange("fetch");
+    assert_eq!((response.status(), response.body), (200, b"served".to_vec()));
 }
 
 #[test]
-fn an_answer_that_is_too_long_is_an_error() {
+fn oversized_responses_are_errors() {
     let upstream = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; (64 << 10) + 1]));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 502);
-    let whole = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; 64 << 10]));
-    let (sidecar, _discovery) = Sidecar::for_upstreams(&[&whole]);
+    let at_limit = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; 64 << 10]));
+    let (sidecar, _discovery) = Sidecar::for_upstreams(&[&at_limit]);
     assert_eq!(Client::connect(sidecar.address).exchange("bill").body.len(), 64 << 10);
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_at_once() {
-    for deed in [
+fn malformed_responses_fail_the_attempt_without_delay() {
+    for behaviour in [
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"),
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nxxxx"),
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nxxxx"),
@@ -116,29 +117,29 @@
         Behaviour::WriteRaw(b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
         Behaviour::WriteRaw(b"\x00\x16noise\r\n\r\n"),
     ] {
-        let [a, b] = first_then_ok(deed);
+        let [a, b] = first_then_ok(behaviour);
         let (sidecar, _discovery) = Sidecar::for_upstreams(&[&a, &b]);
         let mut client = Client::connect(sidecar.address);
-        // Its time is longer than this test's: it is answered because the attempt has failed.
+        // The client waits longer than this test, so only the failed attempt can end the request.
         client.send("bill", 600_000);
-        assert_eq!(client.read().expect("an answer").status(), 502);
-        assert_eq!(total(&[&a, &b]), 1, "it has run");
-        let at = [&a, &b].into_iter().find(|upstream| !upstream.requests().is_empty()).unwrap();
-        let connection = at.requests()[0].connection;
-        wait_until("its connection is closed", || at.close_sequence(connection).is_some());
+        assert_eq!(client.read().expect("a response").status(), 502);
+        assert_eq!(request_count(&[&a, &b]), 1, "must not be retried: it may have run");
+        let contacted = [&a, &b].into_iter().find(|upstream| !upstream.requests().is_empty()).unwrap();
+        let connection = contacted.requests()[0].connection;
+        wait_until("the sidecar closes the connection", || contacted.close_sequence(connection).is_some());
         assert_eq!(client.exchange("fetch").body, b"served");
     }
 }
 
 #[test]
-fn what_comes_with_a_good_answer_does_not_spoil_it() {
-    for deed in [
+fn complete_responses_with_irregular_extras_are_forwarded() {
+    for behaviour in [
         Behaviour::WriteRaw(b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hint\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"),
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nX-Server-Load: \xff\xfe=1e300\r\nContent-Length: 4\r\n\r\ngood"),
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"),
         Behaviour::WriteRaw(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood\x00\x16noise"),
     ] {
-        let [a, b] = first_then_ok(deed);
+        let [a, b] = first_then_ok(behaviour);
         let (sidecar, _discovery) = Sidecar::for_upstreams(&[&a, &b]);
         let mut client = Client::connect(sidecar.address);
         assert_eq!(client.exchange("bill").body, b"good");
@@ -149,27 +150,26 @@
 }
 
 #[test]
-fn a_server_that_refuses_connections_has_run_nothing() {
-    let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+fn refused_connections_are_retried_on_another_upstream() {
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
-    let known =
-        host_list(5, true, &[host_entry("a", upstream.address, "ready"), host_entry("b", dead, "ready")]);
+    let known = host_list(
+        5,
+        true,
+        &[host_entry("a", upstream.address, "ready"), host_entry("b", unused_address, "ready")],
+    );
     let discovery = Discovery::new(&known);
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON));
     sidecar.wait_until_up();
     let mut client = Client::connect(sidecar.address);
     for _ in 0..10 {
-        assert_eq!(
-            client.exchange("bill").status(),
-            200,
-            "unsafe, but it cannot have run, and goes elsewhere"
-        );
+        assert_eq!(client.exchange("bill").status(), 200, "not idempotent, but cannot have run");
     }
     assert_eq!(upstream.requests().len(), 10);
 }
 
 #[test]
-fn an_idle_connection_that_was_closed_is_not_written_to() {
+fn connections_closed_while_idle_are_not_reused() {
     let upstream = Upstream::new(|_| Behaviour::RespondAndClose);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut client = Client::connect(sidecar.address);
@@ -181,21 +181,20 @@
 }
 
 #[test]
-fn an_attempt_is_closed_before_the_next_goes_out() {
-    // The first attempt meets silence. The second is answered only once the first's connection is closed:
-    // were it left open, or closed with the request's end, no answer would ever come.
-    let silent = Arc::new(Mutex::new(None::<mpsc::Receiver<()>>));
+fn an_attempt_is_closed_before_its_retry_is_sent() {
+    // The first attempt gets no response. The retry gets one only after the connection of the first attempt is closed.
+    let first_closed = Arc::new(Mutex::new(None::<mpsc::Receiver<()>>));
     let upstreams = [0, 1].map(|_| {
-        let silent = silent.clone();
+        let first_closed = first_closed.clone();
         Upstream::new(move |_| {
-            let mut first = silent.lock().unwrap();
-            match first.take() {
+            let mut first_closed = first_closed.lock().unwrap();
+            match first_closed.take() {
                 None => {
-                    let (closed, notice) = mpsc::channel();
-                    *first = Some(notice);
-                    Behaviour::NoResponseNotifyClose(closed)
+                    let (close_sender, close_receiver) = mpsc::channel();
+                    *first_closed = Some(close_receiver);
+                    Behaviour::NoResponseNotifyClose(close_sender)
                 }
-                Some(notice) => match notice.recv_timeout(WAIT_TIMEOUT) {
+                Some(close_receiver) => match close_receiver.recv_timeout(WAIT_TIMEOUT) {
                     Ok(()) => Behaviour::ok("served"),
                     Err(_) => Behaviour::Close,
                 },
@@ -204,68 +203,73 @@
     });
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstreams[0], &upstreams[1]]);
     assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
-    let mut requests: Vec<Message> = upstreams.iter().flat_map(|u| u.requests()).collect();
+    let mut requests: Vec<Message> = upstreams.iter().flat_map(|upstream| upstream.requests()).collect();
     requests.sort_by_key(|request| request.sequence);
     assert_eq!(requests.len(), 2);
     assert_eq!(requests[0].header("x-request-id"), requests[1].header("x-request-id"));
 }
 
 #[test]
-fn every_request_is_answered_before_its_client_gives_up() {
+fn requests_are_answered_before_the_client_times_out() {
     let silent = Upstream::new(|_| Behaviour::NoResponse);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&silent]);
-    for (class, refusal) in [("fetch", true), ("bill", false)] {
+    for (class, idempotent) in [("fetch", true), ("bill", false)] {
         let mut client = Client::connect(sidecar.address);
         client.send(class, 400);
-        let answer = client.read().expect("an answer, not a closed connection");
-        assert_eq!(answer.status(), if refusal { 503 } else { 502 }, "{class}");
+        let response = client.read().expect("a response, not a closed connection");
+        assert_eq!(response.status(), if idempotent { 503 } else { 502 }, "{class}");
     }
 }
 
-/// Guards against a last word that depends on which of two timers a sidecar that was held up looks at first.
+/// Guards against a final response that depends on which of several expired timers fires first after the process was
+/// suspended.
 #[test]
-fn a_sidecar_that_was_held_up_lets_the_module_have_the_last_word() {
+fn the_module_chooses_the_final_response_after_a_suspension() {
     let silent = Upstream::new(|_| Behaviour::NoResponse);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&silent]);
     let mut client = Client::connect(sidecar.address);
     client.send("fetch", 400);
-    wait_until("it has arrived", || silent.requests().len() == 1);
+    wait_until("the upstream receives the request", || silent.requests().len() == 1);
     sidecar.signal("-STOP");
     std::thread::sleep(Duration::from_millis(500));
     sidecar.signal("-CONT");
-    assert_eq!(client.read().expect("an answer").status(), 503, "trying again is harmless, and it says so");
+    assert_eq!(
+        client.read().expect("a response").status(),
+        503,
+        "the class is idempotent, so the client may retry"
+    );
 }
 
 #[test]
-fn a_request_with_little_time_is_tried_all_the_same() {
+fn requests_with_a_short_timeout_are_attempted() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
-    // Loopback takes well under a millisecond; now and then a busy machine takes longer than there is.
-    wait_until("one is served", || {
+    // Repeated, since a busy machine may take longer than the timeout now and then.
+    wait_until("a request is served", || {
         let mut client = Client::connect(sidecar.address);
         client.send("fetch", 7);
-        client.read().expect("an answer").status() == 200
+        client.read().expect("a response").status() == 200
     });
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_with_it() {
+fn a_client_disconnect_cancels_the_attempt() {
     let silent = Upstream::new(|_| Behaviour::NoResponse);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&silent]);
     let mut client = Client::connect(sidecar.address);
-    // Long past all that this test waits for: only the client's leaving can end the attempt.
+    // The client would wait longer than this test, so only the disconnect can end the attempt.
     client.send("bill", 600_000);
-    wait_until("it has arrived", || silent.requests().len() == 1);
+    wait_until("the upstream receives the request", || silent.requests().len() == 1);
     drop(client);
     let connection = silent.requests()[0].connection;
-    wait_until("the attempt is closed", || silent.close_sequence(connection).is_some());
+    wait_until("the sidecar closes the connection", || silent.close_sequence(connection).is_some());
 }
 
 #[test]
 fn malformed_requests_never_reach_an_upstream() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
-    let sound = http_request("log", 5_000);
+    let valid_request = http_request("log", 5_000);
     let oversized = format!("Content-Length: {}\r\n", (64 << 10) + 1);
     for (from, to, status) in [
         ("/log?", "/other?", 404),
@@ -284,7 +288,7 @@
         ("Content-Length: 5", "Content-Length: +5", 400),
         ("Content-Length: 5", "Content-Length: 99999999999999999999999", 400),
         ("Content-Length: 5", "Transfer-Encoding: chunked", 411),
-        // A second request may hide behind a body that two readers end in different places.
+        // Ambiguous framing allows request smuggling.
         ("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked", 411),
         ("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5", 411),
         ("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 6", 400),
@@ -292,14 +296,16 @@
         ("POST", "GET", 405),
         ("HTTP/1.1", "HTP/7", 400),
     ] {
-        assert!(sound.contains(from), "{from}");
+        assert!(valid_request.contains(from), "{from}");
         let mut client = Client::connect(sidecar.address);
-        // What follows on the same connection may be a part of it: it is not read as another request.
-        client.write(format!("{}{}", sound.replacen(from, to, 1), http_request("fetch", 5_000)).as_bytes());
-        assert_eq!(client.read().expect("an answer").status(), status, "{to}");
+        // Bytes after a rejected request may belong to its body, so they must not be read as another request.
+        client.write(
+            format!("{}{}", valid_request.replacen(from, to, 1), http_request("fetch", 5_000)).as_bytes(),
+        );
+        assert_eq!(client.read().expect("a response").status(), status, "{to}");
         assert_eq!(client.read_to_close(), Some(vec![]), "{to}");
     }
-    // The method, the key and the body follow from the class.
+    // The class determines the method and whether a key and a body are allowed.
     for (class, from, to, status) in [
         ("fetch", "X-Tenant-Id", "Content-Length: 4\r\nX-Tenant-Id", 400),
         ("fetch", "GET", "POST", 405),
@@ -308,56 +314,57 @@
     ] {
         let mut client = Client::connect(sidecar.address);
         client.write(http_request(class, 5_000).replacen(from, to, 1).as_bytes());
-        assert_eq!(client.read().expect("an answer").status(), status, "{class} {to}");
+        assert_eq!(client.read().expect("a response").status(), status, "{class} {to}");
     }
     assert_eq!(upstream.requests().len(), 0);
     assert_eq!(Client::connect(sidecar.address).exchange("log").status(), 200);
 }
 
 #[test]
-fn what_does_not_come_whole_is_closed() {
+fn incomplete_and_idle_client_connections_are_closed() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
-    let log = http_request("log", 5_000);
-    let mut clients = ["", "GET /fetch HTTP/1.1\r\nX-", log.strip_suffix("ry").unwrap()].map(|part| {
-        let mut client = Client::connect(sidecar.address);
-        client.write(part.as_bytes());
-        client
-    });
-    let mut used = Client::connect(sidecar.address);
-    assert_eq!(used.exchange("fetch").status(), 200);
-    for client in clients.iter_mut().chain([&mut used]) {
-        let answer = client.read_to_close().expect("a close long before this test gives up");
-        assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 408 "), "{answer:?}");
+    let valid_request = http_request("log", 5_000);
+    let mut clients =
+        ["", "GET /fetch HTTP/1.1\r\nX-", valid_request.strip_suffix("ry").unwrap()].map(|incomplete| {
+            let mut client = Client::connect(sidecar.address);
+            client.write(incomplete.as_bytes());
+            client
+        });
+    let mut idle = Client::connect(sidecar.address);
+    assert_eq!(idle.exchange("fetch").status(), 200);
+    for client in clients.iter_mut().chain([&mut idle]) {
+        let response = client.read_to_close().expect("a close before the read timeout");
+        assert!(response.is_empty() || response.starts_with(b"HTTP/1.1 408 "), "{response:?}");
     }
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let let_go = go.clone();
-    let upstream = Upstream::new(move |_| Behaviour::RespondWhenReleased(let_go.clone()));
+fn duplicate_ids_of_pending_requests_are_rejected() {
+    let release = Arc::new(AtomicUsize::new(0));
+    let upstream_release = release.clone();
+    let upstream = Upstream::new(move |_| Behaviour::RespondWhenReleased(upstream_release.clone()));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
-    let text = http_request("bill", 20_000);
+    let request = http_request("bill", 20_000);
     let [mut first, mut second] = [0, 1].map(|_| Client::connect(sidecar.address));
-    first.write(text.as_bytes());
-    wait_until("it is out", || upstream.requests().len() == 1);
-    second.write(text.as_bytes());
-    assert_eq!(second.read().expect("an answer").status(), 409);
+    first.write(request.as_bytes());
+    wait_until("the upstream receives the request", || upstream.requests().len() == 1);
+    second.write(request.as_bytes());
+    assert_eq!(second.read().expect("a response").status(), 409);
     assert_eq!(second.read_to_close(), Some(vec![]));
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(first.read().expect("an answer").body, b"late");
+    release.store(1, Ordering::SeqCst);
+    assert_eq!(first.read().expect("a response").body, b"late");
     assert_eq!(upstream.requests().len(), 1);
-    // Once it has its answer nothing of it is kept.
-    first.write(text.as_bytes());
-    assert_eq!(first.read().expect("an answer").status(), 200);
+    // After the response the id may be used again.
+    first.write(request.as_bytes());
+    assert_eq!(first.read().expect("a response").status(), 200);
 }
 
 #[test]
-fn a_fault_of_the_client_is_not_the_upstreams() {
+fn client_errors_do_not_count_against_upstreams() {
     let upstreams = [0, 1, 2].map(|_| {
-        Upstream::new(|m| match m.start_line.starts_with("GET /fetch?k=bad ") {
+        Upstream::new(|message| match message.start_line.starts_with("GET /fetch?k=bad ") {
             true => Behaviour::Respond(404, "", vec![]),
             false => Behaviour::ok("served"),
         })
@@ -367,8 +374,8 @@
     for count in 1..=40 {
         let mut client = Client::connect(sidecar.address);
         client.write(http_request("fetch", 5_000).replace("k=7f3a9c21", "k=bad").as_bytes());
-        assert_eq!(client.read().expect("an answer").status(), 404);
-        assert_eq!(total(&[a, b, c]), count, "another upstream would say the same");
+        assert_eq!(client.read().expect("a response").status(), 404);
+        assert_eq!(request_count(&[a, b, c]), count, "a client error must not be retried");
     }
     assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
     let log = sidecar.log.lock().unwrap();
@@ -376,67 +383,71 @@
 }
 
 #[test]
-fn silent_connections_do_not_keep_others_out() {
+fn silent_connections_do_not_exclude_other_clients() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let known = ready_hosts(&[&upstream]);
     let discovery = Discovery::new(&known);
-    // Room for 20 clients.
+    // Allows 20 client connections.
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 64, SETTINGS_JSON));
     sidecar.wait_until_up();
-    let mut usual = Client::connect(sidecar.address);
+    let mut active = Client::connect(sidecar.address);
     let mut silent = Vec::new();
     for _ in 0..20 {
         silent.extend((0..6).map(|_| Client::connect(sidecar.address)));
         std::thread::sleep(Duration::from_millis(20));
-        let answer = usual.exchange("fetch");
-        assert_eq!((answer.status(), answer.header("connection")), (200, None), "its connection stays");
-        let answer = Client::connect(sidecar.address).exchange("fetch");
+        let response = active.exchange("fetch");
+        assert_eq!(
+            (response.status(), response.header("connection")),
+            (200, None),
+            "an active connection is kept"
+        );
+        let response = Client::connect(sidecar.address).exchange("fetch");
         assert_eq!(
-            (answer.status(), answer.header("connection")),
+            (response.status(), response.header("connection")),
             (200, None),
-            "newcomers get in and may stay"
+            "a new connection is accepted and kept"
         );
     }
 }
 
 #[test]
-fn unknown_tenants_are_turned_away_where_there_are_tenants() {
+fn unknown_tenants_are_rejected_if_tenants_are_configured() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let settings = SETTINGS_JSON
         .replace(r#""tenants":[]"#, r#""tenants":[{"name":"acme","quota_per_s":90.0,"fraction":1.0}]"#);
     let (sidecar, _discovery) = Sidecar::for_upstreams_with_settings(&[&upstream], &settings);
     let mut client = Client::connect(sidecar.address);
     client.write(http_request("fetch", 5_000).replace("acme", "nobody").as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 400);
+    assert_eq!(client.read().expect("a response").status(), 400);
     assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
 }
 
 #[test]
-fn a_drain_is_kept_and_news_come_however_they_are_cut() {
+fn discovery_updates_apply_regardless_of_chunk_boundaries() {
     let [a, b, c] = [0, 1, 2].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let (sidecar, discovery) = Sidecar::for_upstreams(&[&a, &b]);
     let mut client = Client::connect(sidecar.address);
-    wait_until("both serve", || {
+    wait_until("both upstreams serve", || {
         client.exchange("fetch");
         !a.requests().is_empty() && !b.requests().is_empty()
     });
-    // One line in three pieces, a second with nothing between, and a line that no one can read first.
+    // The first line is split over two chunks; the second line follows in the same chunk.
     let drain = host_list(6, false, &[host_entry("a", a.address, "draining")]);
     let (head, tail) = drain.split_at(30);
     discovery.send_chunk(head);
     std::thread::sleep(Duration::from_millis(50));
     discovery
         .send_chunk(&format!("{tail}\n{}\n", host_list(7, false, &[host_entry("c", c.address, "ready")])));
-    wait_until("the newcomer serves", || {
+    wait_until("the new upstream serves", || {
         client.exchange("fetch");
         !c.requests().is_empty()
     });
     let before = a.requests().len();
     (0..40).for_each(|_| drop(client.exchange("fetch")));
-    assert_eq!(a.requests().len(), before, "nothing new to one that drains");
-    // Who is missing from a whole list is gone.
+    assert_eq!(a.requests().len(), before, "a draining upstream received a request");
+    // An upstream that is missing from a complete list is gone.
     discovery.send_chunk(&format!("{}\n", host_list(8, true, &[host_entry("c", c.address, "ready")])));
-    wait_until("b is left alone", || {
+    wait_until("b receives no more requests", || {
         let before = b.requests().len();
         (0..20).for_each(|_| drop(client.exchange("fetch")));
         b.requests().len() == before
@@ -444,10 +455,10 @@
 }
 
 #[test]
-fn the_watch_survives_breaks_and_nonsense() {
+fn the_watch_recovers_from_disconnects_and_malformed_lines() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let known = ready_hosts(&[&a]);
-    // What discovery says first on every watch brings the newcomer, too.
+    // Every watch begins with a list that contains the new upstream.
     let discovery = Discovery::new(&host_list(
         9,
         true,
@@ -455,22 +466,25 @@
     ));
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON));
     sidecar.wait_until_up();
-    wait_until("it watches", || discovery.watches().len() == 1);
+    wait_until("the sidecar opens a watch", || discovery.watches().len() == 1);
     assert_eq!(discovery.watches()[0], "GET /discovery/hosts?watch=1&from=5 HTTP/1.1");
     discovery.send_chunk("{\"seq\":10,\"whole\":true,\"hosts\"\n");
     discovery.close_watch();
-    wait_until("it watches again", || discovery.watches().len() >= 2);
-    assert!(discovery.watches()[1].contains("from=0 "), "what the broken line said was missed");
+    wait_until("the sidecar opens a second watch", || discovery.watches().len() >= 2);
+    assert!(
+        discovery.watches()[1].contains("from=0 "),
+        "the malformed update was missed, so the whole list is requested"
+    );
     discovery.close_watch();
-    wait_until("and again", || discovery.watches().len() >= 3);
+    wait_until("the sidecar opens a third watch", || discovery.watches().len() >= 3);
     let mut client = Client::connect(sidecar.address);
-    wait_until("the newcomer serves", || {
+    wait_until("the new upstream serves", || {
         client.exchange("fetch").status() == 200 && !b.requests().is_empty()
     });
 }
 
 #[test]
-fn a_new_address_drops_the_old_connections() {
+fn an_address_change_closes_the_old_connections() {
     let [old, new] = ["old", "new"].map(|name| Upstream::new(move |_| Behaviour::ok(name)));
     let (sidecar, discovery) = Sidecar::for_upstreams(&[&old]);
     let mut client = Client::connect(sidecar.address);
@@ -483,76 +497,80 @@
 }
 
 #[test]
-fn where_discovery_is_asked_the_module_asks() {
+fn the_module_requests_watches_in_subscribe_mode() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let known = ready_hosts(&[&a]);
     let discovery = Discovery::new(&host_list(9, true, &[host_entry("b", b.address, "ready")]));
     let settings = SETTINGS_JSON.replace("automatic", "subscribe");
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, &settings));
     sidecar.wait_until_up();
-    wait_until("it watches", || !discovery.watches().is_empty());
+    wait_until("the sidecar opens a watch", || !discovery.watches().is_empty());
     let mut client = Client::connect(sidecar.address);
-    wait_until("the list is taken over", || {
+    wait_until("the list of discovery replaces the known one", || {
         client.exchange("fetch").status() == 200 && !b.requests().is_empty()
     });
     discovery.close_watch();
-    wait_until("it asks again", || discovery.watches().len() >= 2);
+    wait_until("the sidecar opens a second watch", || discovery.watches().len() >= 2);
 }
 
 #[test]
-fn sighup_moves_the_watch_and_keeps_list_and_connections() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let let_go = go.clone();
-    let a = Upstream::new(move |m| {
-        if m.start_line.starts_with("POST") {
-            Behaviour::RespondWhenReleased(let_go.clone())
+fn sighup_moves_the_watch_and_keeps_the_list_and_connections() {
+    let release = Arc::new(AtomicUsize::new(0));
+    let upstream_release = release.clone();
+    let a = Upstream::new(move |message| {
+        if message.start_line.starts_with("POST") {
+            Behaviour::RespondWhenReleased(upstream_release.clone())
         } else {
             Behaviour::ok("old")
         }
     });
     let b = Upstream::new(|_| Behaviour::ok("new"));
-    let (sidecar, old) = Sidecar::for_upstreams(&[&a]);
-    let mut held = Client::connect(sidecar.address);
-    held.send("bill", 20_000);
-    wait_until("it is held", || a.requests().len() == 1);
-    wait_until("it watches", || old.watches().len() == 1);
-    let sound = |discovery| config_json("127.0.0.1:0", discovery, "null", 1024, SETTINGS_JSON);
-    // What is not sound is told and changes nothing.
+    let (sidecar, first_discovery) = Sidecar::for_upstreams(&[&a]);
+    let mut pending = Client::connect(sidecar.address);
+    pending.send("bill", 20_000);
+    wait_until("the upstream receives the request", || a.requests().len() == 1);
+    wait_until("the sidecar opens a watch", || first_discovery.watches().len() == 1);
+    let valid_config = |discovery| config_json("127.0.0.1:0", discovery, "null", 1024, SETTINGS_JSON);
+    // An invalid configuration is logged and changes nothing.
     for text in ["", "{\"discovery\":\"127.0.0.1:1\"}"] {
         sidecar.log.lock().unwrap().clear();
         sidecar.reload(text);
         sidecar.wait_for_log("the old configuration stays");
     }
     assert_eq!(Client::connect(sidecar.address).exchange("fetch").body, b"old");
-    // Twice: the second must not find that the first has used up what there is.
+    // Two reloads: the second must work like the first.
     let entries = [host_entry("a", a.address, "ready"), host_entry("b", b.address, "ready")];
-    let next = Discovery::new(&host_list(6, true, &entries));
-    sidecar.reload(&sound(next.address));
+    let second_discovery = Discovery::new(&host_list(6, true, &entries));
+    sidecar.reload(&valid_config(second_discovery.address));
     let mut client = Client::connect(sidecar.address);
-    wait_until("the newcomer serves", || client.exchange("fetch").body == b"new");
-    assert_eq!(next.watches()[0], "GET /discovery/hosts?watch=1&from=5 HTTP/1.1");
-    let last = Discovery::new(&host_list(7, false, &[host_entry("b", b.address, "draining")]));
-    sidecar.reload(&sound(last.address));
-    wait_until("it watches the last one", || last.watches().len() == 1);
-    assert!(last.watches()[0].contains("from=6 "));
-    // The old ones are believed no more.
-    let withdrawn = format!("{}\n", host_list(90, true, &[]));
-    old.send_chunk(&withdrawn);
-    next.send_chunk(&withdrawn);
-    wait_until("the drain is kept", || (0..20).all(|_| client.exchange("fetch").body == b"old"));
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(held.read().expect("a whole answer").body, b"late");
-}
-
-#[test]
-fn it_is_up_only_with_a_list() {
+    wait_until("the new upstream serves", || client.exchange("fetch").body == b"new");
+    assert_eq!(second_discovery.watches()[0], "GET /discovery/hosts?watch=1&from=5 HTTP/1.1");
+    let third_discovery = Discovery::new(&host_list(7, false, &[host_entry("b", b.address, "draining")]));
+    sidecar.reload(&valid_config(third_discovery.address));
+    wait_until("the sidecar opens a watch at the third discovery server", || {
+        third_discovery.watches().len() == 1
+    });
+    assert!(third_discovery.watches()[0].contains("from=6 "));
+    // Updates from replaced discovery servers are ignored.
+    let empty_list = format!("{}\n", host_list(90, true, &[]));
+    first_discovery.send_chunk(&empty_list);
+    second_discovery.send_chunk(&empty_list);
+    wait_until("only the upstream that is not draining serves", || {
+        (0..20).all(|_| client.exchange("fetch").body == b"old")
+    });
+    release.store(1, Ordering::SeqCst);
+    assert_eq!(pending.read().expect("a complete response").body, b"late");
+}
+
+#[test]
+fn readiness_requires_a_host_list() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = nobody.local_addr().unwrap();
+    let discovery_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = discovery_listener.local_addr().unwrap();
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, SETTINGS_JSON));
-    assert_eq!(Client::connect(sidecar.address).get("/up").expect("an answer").status(), 503);
-    // Discovery comes up at last.
-    let (mut watch, _) = nobody.accept().unwrap();
+    assert_eq!(Client::connect(sidecar.address).get("/up").expect("a response").status(), 503);
+    // Discovery starts to answer.
+    let (mut watch, _) = discovery_listener.accept().unwrap();
     watch.read_exact(&mut [0; 16]).unwrap();
     let line = ready_hosts(&[&upstream]);
     write!(
@@ -566,40 +584,42 @@
 }
 
 #[test]
-fn sigterm_finishes_what_is_held_and_what_still_comes() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let let_go = go.clone();
-    let upstream = Upstream::new(move |m| {
-        if m.start_line.starts_with("POST") {
-            Behaviour::RespondWhenReleased(let_go.clone())
+fn sigterm_finishes_pending_and_newly_arriving_requests() {
+    let release = Arc::new(AtomicUsize::new(0));
+    let upstream_release = release.clone();
+    let upstream = Upstream::new(move |message| {
+        if message.start_line.starts_with("POST") {
+            Behaviour::RespondWhenReleased(upstream_release.clone())
         } else {
             Behaviour::ok("served")
         }
     });
     let (mut sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
-    let (mut held, mut idle, mut silent) = (
+    let (mut pending, mut idle, mut silent) = (
         Client::connect(sidecar.address),
         Client::connect(sidecar.address),
         Client::connect(sidecar.address),
     );
     assert_eq!(idle.exchange("fetch").status(), 200);
-    held.send("bill", 8_000);
-    wait_until("it is held", || upstream.requests().len() == 2);
+    pending.send("bill", 8_000);
+    wait_until("the upstream receives the request", || upstream.requests().len() == 2);
     sidecar.signal("-TERM");
-    wait_until("it has heard", || sidecar.log.lock().unwrap().iter().any(|line| line.contains("SIGTERM")));
-    // Clients still come, on new connections and on ones that have carried nothing so far.
+    wait_until("the sidecar handles SIGTERM", || {
+        sidecar.log.lock().unwrap().iter().any(|line| line.contains("SIGTERM"))
+    });
+    // Requests are still accepted, on new connections and on connections that have carried none yet.
     for client in [&mut Client::connect(sidecar.address), &mut silent] {
-        let answer = client.exchange("fetch");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        let response = client.exchange("fetch");
+        assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
-    assert!(idle.read().is_none(), "an idle connection is closed");
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(held.read().expect("a whole answer").body, b"late");
+    assert!(idle.read().is_none(), "the idle connection must be closed");
+    release.store(1, Ordering::SeqCst);
+    assert_eq!(pending.read().expect("a complete response").body, b"late");
     assert!(sidecar.wait_for_exit().success());
 }
 
 #[test]
-fn after_sigkill_the_next_start_takes_the_same_address() {
+fn a_restart_after_sigkill_reuses_the_listen_address() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (mut sidecar, discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut client = Client::connect(sidecar.address);
@@ -607,24 +627,32 @@
     sidecar.child.kill().unwrap();
     sidecar.child.wait().unwrap();
     let listen = sidecar.address.to_string();
-    let next = Sidecar::start(&config_json(
+    let restarted = Sidecar::start(&config_json(
         &listen,
         discovery.address,
         &ready_hosts(&[&upstream]),
         1024,
         SETTINGS_JSON,
     ));
-    next.wait_until_up();
-    assert_eq!(Client::connect(next.address).exchange("fetch").status(), 200);
+    restarted.wait_until_up();
+    assert_eq!(Client::connect(restarted.address).exchange("fetch").status(), 200);
 }
 
 #[test]
-fn bad_configurations_end_it_with_one_plain_line() {
-    let nowhere = "127.0.0.1:9".parse().unwrap();
-    let sound = config_json("127.0.0.1:0", nowhere, "null", 1024, SETTINGS_JSON);
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let busy = config_json(&taken.local_addr().unwrap().to_string(), nowhere, "null", 1024, SETTINGS_JSON);
-    for text in ["", "{}", "[1", &sound.replace("\"aim\":3000.0", "\"aim\":\"x\""), &busy] {
+fn invalid_configurations_exit_with_a_one_line_error() {
+    let discovery_address = "127.0.0.1:9".parse().unwrap();
+    let valid_config = config_json("127.0.0.1:0", discovery_address, "null", 1024, SETTINGS_JSON);
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address_in_use_config = config_json(
+        &occupied.local_addr().unwrap().to_string(),
+        discovery_address,
+        "null",
+        1024,
+        SETTINGS_JSON,
+    );
+    for text in
+        ["", "{}", "[1", &valid_config.replace("\"aim\":3000.0", "\"aim\":\"x\""), &address_in_use_config]
+    {
         let output = spawn_sidecar(text).wait_with_output().unwrap();
         assert_eq!(output.status.code(), Some(1), "{text}");
         let error = String::from_utf8(output.stderr).unwrap();
@@ -639,7 +667,7 @@
 }
 
 #[test]
-fn more_clients_than_sockets_are_all_served_in_the_end() {
+fn clients_beyond_the_connection_limit_are_served_eventually() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let known = ready_hosts(&[&upstream]);
     let discovery = Discovery::new(&known);
@@ -650,69 +678,68 @@
         .map(|_| {
             std::thread::spawn(move || {
                 let mut client = Client::connect(address);
-                let answers = (0..3).map_while(|_| {
+                let responses = (0..3).map_while(|_| {
                     client.send("fetch", 20_000);
                     client.read()
                 });
-                let count = answers.filter(|answer| matches!(answer.status(), 200 | 503)).count();
-                // Its connection stays open for as long as the sidecar lets it.
+                let count = responses.filter(|response| matches!(response.status(), 200 | 503)).count();
+                // The client keeps its connection open until the sidecar closes it.
                 (count, client)
             })
         })
         .collect();
     let served: Vec<(usize, Client)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
-    assert!(served.iter().all(|(count, _)| *count >= 1), "each gets a whole answer");
+    assert!(served.iter().all(|(count, _)| *count >= 1), "every client must get a complete response");
 }
 
-/// What was held was once counted only after the clients that left had been taken off: one connection was left on each
-/// side, and idle clients took it in turn for 22 s.
+/// Guards against a connection limit that is lowered too far because connections closed meanwhile are not counted.
 #[test]
-fn running_out_of_descriptors_is_survived() {
+fn the_sidecar_recovers_from_descriptor_exhaustion() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let known = ready_hosts(&[&upstream]);
     let discovery = Discovery::new(&known);
-    // Told that there are many, it finds that there are few.
+    // The configuration allows more descriptors than the process can open.
     let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON);
     let sidecar = Sidecar::start_with_descriptor_limit(&text, Some(32));
     sidecar.wait_until_up();
     let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(sidecar.address)).collect();
-    wait_until("accepting fails", || {
+    wait_until("accept fails", || {
         sidecar.log.lock().unwrap().iter().any(|line| line.contains("cannot accept"))
     });
     clients.drain(..50);
-    let began = Instant::now();
-    wait_until("it serves again", || {
+    let start = Instant::now();
+    wait_until("a request is served again", || {
         let mut client = Client::connect(sidecar.address);
         client.send("fetch", 5_000);
-        client.read().is_some_and(|answer| answer.status() == 200)
+        client.read().is_some_and(|response| response.status() == 200)
     });
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
 }
 
 #[test]
-fn a_whole_url_is_asked_for_by_its_path() {
+fn absolute_request_targets_are_forwarded_as_paths() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut client = Client::connect(sidecar.address);
     client.write(http_request("fetch", 5_000).replace("GET /", "GET http://api.internal/").as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     assert_eq!(upstream.requests()[0].start_line, "GET /fetch?k=7f3a9c21 HTTP/1.1");
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_again_so_late_that_connecting_could_outlast_its_window() {
+fn keyed_requests_are_not_retried_if_connecting_could_outlast_the_dedup_window() {
     let [a, b] = first_then_ok(Behaviour::NoResponse);
-    // The first attempt is given up after 2.3 s or so. Connecting may take 2 s more: past the window of 3 s.
+    // The first attempt times out after about 2.3 s. Connecting may take 2 s more, past the window of 3 s.
     let settings = SETTINGS_JSON.replace(r#""window":5000.0"#, r#""window":3000.0"#);
     let (sidecar, _discovery) = Sidecar::for_upstreams_with_settings(&[&a, &b], &settings);
     assert_eq!(Client::connect(sidecar.address).exchange("log").status(), 502);
-    assert_eq!(total(&[&a, &b]), 1);
+    assert_eq!(request_count(&[&a, &b]), 1);
 }
 
 #[test]
-fn an_attempt_that_is_still_connecting_when_its_upstream_drains_is_not_written() {
-    let FullAcceptQueue { listener: slow, queue } = FullAcceptQueue::new();
-    let address = slow.local_addr().unwrap();
+fn an_attempt_still_connecting_is_not_sent_once_its_upstream_drains() {
+    let FullAcceptQueue { listener: slow_listener, queue } = FullAcceptQueue::new();
+    let address = slow_listener.local_addr().unwrap();
     let other = Upstream::new(|_| Behaviour::ok("elsewhere"));
     let known = host_list(5, true, &[host_entry("slow", address, "ready")]);
     let discovery = Discovery::new(&known);
@@ -726,27 +753,27 @@
     sidecar.wait_until_up();
     let mut client = Client::connect(sidecar.address);
     client.send("bill", 60_000);
-    // Long enough for its probes to fail and the attempt to begin; were it not, nothing would fail here.
+    // Gives the attempt time to start connecting. If it has not, the test passes without testing anything.
     std::thread::sleep(Duration::from_millis(1_000));
-    let news = [host_entry("slow", address, "draining"), host_entry("other", other.address, "ready")];
-    discovery.send_chunk(&format!("{}\n", host_list(6, false, &news)));
-    wait_until("the news have come", || {
+    let update = [host_entry("slow", address, "draining"), host_entry("other", other.address, "ready")];
+    discovery.send_chunk(&format!("{}\n", host_list(6, false, &update)));
+    wait_until("the update is applied", || {
         Client::connect(sidecar.address).exchange("fetch").body == b"elsewhere"
     });
-    let written = Arc::new(AtomicUsize::new(0));
-    let seen = written.clone();
+    let received_posts = Arc::new(AtomicUsize::new(0));
+    let counter = received_posts.clone();
     std::thread::spawn(move || {
-        for mut stream in slow.incoming().flatten() {
-            let seen = seen.clone();
+        for mut stream in slow_listener.incoming().flatten() {
+            let counter = counter.clone();
             std::thread::spawn(move || {
                 let mut head = [0; 4];
                 if stream.read_exact(&mut head).is_ok() && &head == b"POST" {
-                    seen.fetch_add(1, Ordering::SeqCst);
+                    counter.fetch_add(1, Ordering::SeqCst);
                 }
             });
         }
     });
     drop(queue);
-    assert_eq!(client.read().expect("an answer").body, b"elsewhere");
-    assert_eq!(written.load(Ordering::SeqCst), 0);
+    assert_eq!(client.read().expect("a response").body, b"elsewhere");
+    assert_eq!(received_posts.load(Ordering::SeqCst), 0);
 }
