--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,4 +1,4 @@
-//! The client side: the listener, the requests of the application, and their answers.
+//! The client side: the listener, the connections of clients, their requests and the responses.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -29,28 +29,29 @@
 use super::log;
 use super::upstream_connection::MAX_BODY_BYTES;
 
-/// Clients that connect while the sidecar starts or is busy wait here.
-const BACKLOG: u32 = 4096;
-/// Room for a head; hyper also reads bodies through it.
-const BUFFER_BYTES: usize = 32 << 10;
-/// A connection on which no whole head comes for this long is closed. Clients hold on to theirs for good, and
-/// one that has said nothing is owed an end within 3 s; one that has been used may be closed after 2 s.
-const IDLE: Duration = Duration::from_millis(2_200);
-/// The same once the sidecar ends and only sweeps up.
-const IDLE_AT_END: Duration = Duration::from_millis(150);
-/// A request must have come whole, head and body, this long after its connection did, or after its head on a
-/// connection that has carried others.
-const WHOLE: Duration = Duration::from_millis(2_500);
-/// A connection is not closed for a newcomer before it has had no request open for this long: its last answer
-/// is on its way to the client, or its first request to the sidecar.
-const SETTLED: Duration = Duration::from_millis(100);
-/// So many of the connections that there may be are kept for newcomers while others close to make room for them.
-const CLOSING: usize = 8;
-/// Ids of requests are no longer than this; they are kept while the request is open.
-const ID_BYTES: usize = 256;
-/// The wait after a failed accept: out of descriptors, a busy loop would starve those who could free some.
-const ACCEPT_BACK_OFF: Duration = Duration::from_millis(20);
-/// A longer time-out is absurd.
+/// Length of the accept queue, in which clients wait while the sidecar starts or is busy.
+const LISTEN_BACKLOG: u32 = 4096;
+/// Limit on the read buffer of a connection, and thereby on the size of a request head.
+const MAX_BUFFER_BYTES: usize = 32 << 10;
+/// A connection on which no complete request head arrives for this long is closed. Clients keep idle connections
+/// open indefinitely: one without any request must be closed within 3 s, a used one not before 2 s.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// The header read timeout of connections that are accepted in [`ShutdownPhase::Closing`].
+const CLOSING_HEADER_READ_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long after its head a request body must be complete. For the first request on a connection the time counts
+/// from the accept.
+const BODY_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A connection is not evicted before it has been idle for this long: its last response may still be on the way to
+/// the client, or its first request on the way to the sidecar.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
+/// The number of connections below the limit that are kept free for new clients while evicted ones close.
+const EVICTION_HEADROOM: usize = 8;
+/// Limit on the length of a request id, which is stored while the request is open.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// The delay after a failed accept. Without it, accepting in a busy loop while out of descriptors would starve the
+/// tasks that could free some.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// The longest timeout that a request may ask for.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
 /// The stages of a graceful shutdown.
@@ -82,8 +83,8 @@
     pub phase: watch::Receiver<ShutdownPhase>,
     /// Events for the driver.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// Ids for the module: those of clients come from outside and might come twice.
-    next_id: AtomicU64,
+    /// The next id for the decision module. The ids that clients choose need not be unique.
+    next_request_id: AtomicU64,
 }
 
 /// The parts of a client request that are forwarded to upstreams.
@@ -147,143 +148,161 @@
             ready: AtomicBool::new(false),
             phase,
             events,
-            // The module keeps timer 0 for itself and halves request ids into timers.
-            next_id: AtomicU64::new(2),
+            // The decision module reserves timer 0 and derives the timer of a request from half its id.
+            next_request_id: AtomicU64::new(2),
         }
     }
 }
 
-/// Listens. The address may be in use by connections of a predecessor that was killed.
+/// Listens on an address. SO_REUSEADDR allows a restart while connections of a killed process linger.
 pub fn listen(address: std::net::SocketAddr) -> Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address).with_context(|| format!("cannot listen on {address}"))?;
-    Ok(socket.listen(BACKLOG)?)
+    Ok(socket.listen(LISTEN_BACKLOG)?)
 }
 
-/// What `serve` knows of a connection.
-struct Slot {
-    /// Since when it has had no request open, in milliseconds from its epoch; [`BUSY`] while it has one.
-    free_since: AtomicU64,
-    /// Told to make room.
-    make_room: Notify,
+/// The state of a client connection that its task shares with the accept loop.
+struct ConnectionState {
+    /// When its last request ended, or when it was accepted, in milliseconds since the epoch of its
+    /// [`ConnectionTable`]; [`NOT_IDLE`] while a request is open.
+    idle_since_ms: AtomicU64,
+    /// Tells the connection to close once it has no open request.
+    evict: Notify,
 }
 
-/// The mark of a connection with an open request.
-const BUSY: u64 = u64::MAX;
+/// The value of [`ConnectionState::idle_since_ms`] while a request is open.
+const NOT_IDLE: u64 = u64::MAX;
 
-/// The open connections, and what is needed to choose one to close.
-struct Slots {
+/// The open connections that have not been told to close.
+struct ConnectionTable {
     epoch: Instant,
-    by_task: HashMap<Id, Arc<Slot>>,
+    by_task: HashMap<Id, Arc<ConnectionState>>,
 }
 
-impl Slots {
-    fn millis(&self) -> u64 {
+impl ConnectionTable {
+    fn elapsed_ms(&self) -> u64 {
         self.epoch.elapsed().as_millis() as u64
     }
 
-    /// Has the connection closed that has longest had no request open. Which of its peers are honest a sidecar
-    /// cannot know; one that waits for an answer is never closed for another.
-    fn make_room(&mut self) -> bool {
-        let settled = self.millis().saturating_sub(SETTLED.as_millis() as u64);
-        let free = self.by_task.iter().map(|(id, slot)| (slot.free_since.load(Ordering::Relaxed), *id));
-        let longest = free.filter(|(since, _)| *since <= settled).min_by_key(|(since, _)| *since);
-        let Some(slot) = longest.and_then(|(_, id)| self.by_task.remove(&id)) else { return false };
-        slot.make_room.notify_one();
+    /// Evicts the connection that has been idle longest. Connections with an open request are never evicted.
+    /// Returns whether there was one to evict.
+    fn evict_longest_idle(&mut self) -> bool {
+        let latest_idle_since = self.elapsed_ms().saturating_sub(MIN_IDLE_BEFORE_EVICTION.as_millis() as u64);
+        let candidates =
+            self.by_task.iter().map(|(id, state)| (state.idle_since_ms.load(Ordering::Relaxed), *id));
+        let longest_idle = candidates
+            .filter(|(idle_since, _)| *idle_since <= latest_idle_since)
+            .min_by_key(|(idle_since, _)| *idle_since);
+        let Some(state) = longest_idle.and_then(|(_, id)| self.by_task.remove(&id)) else { return false };
+        state.evict.notify_one();
         true
     }
 
-    /// The same until so many are left that were not told to make room, as far as may be.
-    fn make_room_down_to(&mut self, count: usize) {
-        while self.by_task.len() > count && self.make_room() {}
+    /// Evicts idle connections until `target` are left, or until none may be evicted.
+    fn evict_down_to(&mut self, target: usize) {
+        while self.by_task.len() > target && self.evict_longest_idle() {}
     }
 }
 
-/// Accepts clients until the end: when it is closing, none is open and none waits to be accepted. A client that
-/// comes when there are as many connections as may be takes the place of one that has no request open.
+/// Accepts clients until the shutdown ends: in [`ShutdownPhase::Closing`], once no connection is open and none waits
+/// in the accept queue. Idle connections are evicted to keep room for new clients below the connection limit.
 pub async fn serve(listener: TcpListener, frontend: Arc<Frontend>, descriptors: Arc<Descriptors>) {
     let mut phase = frontend.phase.clone();
-    let mut slots = Slots { epoch: Instant::now(), by_task: HashMap::new() };
-    let mut connections = JoinSet::new();
+    let mut table = ConnectionTable { epoch: Instant::now(), by_task: HashMap::new() };
+    let mut tasks = JoinSet::new();
     loop {
         let closing = *phase.borrow_and_update() == ShutdownPhase::Closing;
-        let room = connections.len() < descriptors.connections_per_side();
+        let below_limit = tasks.len() < descriptors.connections_per_side();
         tokio::select! {
             biased;
-            Some(ended) = connections.join_next_with_id() => forget(&mut slots, ended),
+            Some(ended) = tasks.join_next_with_id() => remove_ended(&mut table, ended),
             () = descriptors.exhausted() =>
-                out_of_descriptors(&descriptors, &frontend, connections.len(), &mut slots),
-            accepted = listener.accept(), if room => match accepted {
+                lower_connection_limit(&descriptors, &frontend, tasks.len(), &mut table),
+            accepted = listener.accept(), if below_limit => match accepted {
                 Ok((stream, _)) => {
-                    let free_since = AtomicU64::new(slots.millis());
-                    let slot = Arc::new(Slot { free_since, make_room: Notify::new() });
-                    let (frontend, kept, epoch) = (frontend.clone(), slot.clone(), slots.epoch);
-                    let task =
-                        connections.spawn(async move { connection(stream, &frontend, &slot, epoch).await });
-                    slots.by_task.insert(task.id(), kept);
-                    slots.make_room_down_to(stay(descriptors.connections_per_side()));
+                    let idle_since_ms = AtomicU64::new(table.elapsed_ms());
+                    let state = Arc::new(ConnectionState { idle_since_ms, evict: Notify::new() });
+                    let (frontend, task_state, epoch) = (frontend.clone(), state.clone(), table.epoch);
+                    let task = tasks
+                        .spawn(async move { serve_connection(stream, &frontend, &task_state, epoch).await });
+                    table.by_task.insert(task.id(), state);
+                    table.evict_down_to(eviction_target(descriptors.connections_per_side()));
                 }
                 Err(error) => {
-                    log::line(format!("cannot accept: {error}"));
+                    log::line(format!("cannot accept a client: {error}"));
                     if is_out_of_descriptors(&error) {
-                        // Now: clients that leave meanwhile would make what is held look less.
-                        out_of_descriptors(&descriptors, &frontend, connections.len(), &mut slots);
+                        // Not after the backoff: clients that disconnect during it would make the number of
+                        // descriptors in use look smaller.
+                        lower_connection_limit(&descriptors, &frontend, tasks.len(), &mut table);
                     } else {
-                        slots.make_room();
+                        table.evict_longest_idle();
                     }
-                    sleep(ACCEPT_BACK_OFF).await;
+                    sleep(ACCEPT_BACKOFF).await;
                 }
             },
-            // All are busy, or closing already.
-            () = sleep(ACCEPT_BACK_OFF), if !room =>
-                slots.make_room_down_to(stay(descriptors.connections_per_side())),
-            () = std::future::ready(()), if closing && connections.is_empty() => return,
+            // At the limit, every connection is in use or already being evicted: try again later.
+            () = sleep(ACCEPT_BACKOFF), if !below_limit =>
+                table.evict_down_to(eviction_target(descriptors.connections_per_side())),
+            () = std::future::ready(()), if closing && tasks.is_empty() => return,
             changed = phase.changed(), if !closing => if changed.is_err() { return },
         }
     }
 }
 
-/// There was no descriptor while so many clients were connected.
-fn out_of_descriptors(descriptors: &Descriptors, frontend: &Frontend, clients: usize, slots: &mut Slots) {
-    if descriptors.lower_limit(clients) {
-        let each = descriptors.connections_per_side();
-        log::line(format!("out of descriptors: from now on {each} connections on each side"));
+/// Lowers the connection limit after an operation found no free descriptor while `client_count` clients were
+/// connected, and evicts the connections above it.
+fn lower_connection_limit(
+    descriptors: &Descriptors,
+    frontend: &Frontend,
+    client_count: usize,
+    table: &mut ConnectionTable,
+) {
+    if descriptors.lower_limit(client_count) {
+        let limit = descriptors.connections_per_side();
+        log::line(format!("out of descriptors: connections on each side are now limited to {limit}"));
         let _ = frontend.events.send(DriverEvent::ConnectionLimitLowered);
     }
-    slots.make_room_down_to(stay(descriptors.connections_per_side()));
+    table.evict_down_to(eviction_target(descriptors.connections_per_side()));
 }
 
-/// How many of so many connections may stay, as others may be closing; half of them where there are few.
-fn stay(each: usize) -> usize {
-    each.saturating_sub(CLOSING).max(each / 2).max(1)
+/// The number of connections down to which idle ones are evicted: the limit less [`EVICTION_HEADROOM`], or half of
+/// a low limit.
+fn eviction_target(connection_limit: usize) -> usize {
+    connection_limit.saturating_sub(EVICTION_HEADROOM).max(connection_limit / 2).max(1)
 }
 
-/// Strikes off a connection that has ended. One that has panicked must not take the others with it.
-fn forget(slots: &mut Slots, ended: Result<(Id, ()), tokio::task::JoinError>) {
+/// Removes a connection whose task has ended. A panic in one task does not affect other connections.
+fn remove_ended(table: &mut ConnectionTable, ended: Result<(Id, ()), tokio::task::JoinError>) {
     let id = match ended {
         Ok((id, ())) => id,
         Err(error) => error.id(),
     };
-    slots.by_task.remove(&id);
+    table.by_task.remove(&id);
 }
 
-/// Serves one client connection.
-async fn connection(stream: TcpStream, frontend: &Arc<Frontend>, slot: &Slot, epoch: Instant) {
+/// Serves one client connection until it is closed.
+async fn serve_connection(
+    stream: TcpStream,
+    frontend: &Arc<Frontend>,
+    state: &ConnectionState,
+    epoch: Instant,
+) {
     let _ = stream.set_nodelay(true);
     let mut phase = frontend.phase.clone();
-    let now = *phase.borrow_and_update();
-    let heard = AtomicBool::new(false);
-    let whole_by = Instant::now() + WHOLE;
+    let initial_phase = *phase.borrow_and_update();
+    let has_received_request = AtomicBool::new(false);
+    let first_body_deadline = Instant::now() + BODY_READ_TIMEOUT;
     let (stream, detector) = ClientStream::new(stream);
     let service = service_fn(|request| {
-        let first = !heard.swap(true, Ordering::Relaxed);
+        let is_first = !has_received_request.swap(true, Ordering::Relaxed);
         let (frontend, detector) = (frontend.clone(), detector.clone());
         async move {
-            let by = if first { whole_by } else { Instant::now() + WHOLE };
-            let mut response = handle(request, &frontend, slot, detector, by).await;
-            slot.free_since.store(epoch.elapsed().as_millis() as u64, Ordering::Relaxed);
-            // What is left of a request that was turned away must not be read as another.
+            let body_deadline =
+                if is_first { first_body_deadline } else { Instant::now() + BODY_READ_TIMEOUT };
+            let mut response = handle_request(request, &frontend, state, detector, body_deadline).await;
+            state.idle_since_ms.store(epoch.elapsed().as_millis() as u64, Ordering::Relaxed);
+            // The unread rest of a rejected request must not be parsed as another request.
             if response.status().is_client_error() || *frontend.phase.borrow() > ShutdownPhase::Serving {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
@@ -292,26 +311,35 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(if now == ShutdownPhase::Closing { IDLE_AT_END } else { IDLE })
-        .max_buf_size(BUFFER_BYTES)
+        .header_read_timeout(if initial_phase == ShutdownPhase::Closing {
+            CLOSING_HEADER_READ_TIMEOUT
+        } else {
+            HEADER_READ_TIMEOUT
+        })
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // Looked at anew each time this task wakes: a request begins while the others are waited for.
-    let busy = || slot.free_since.load(Ordering::Relaxed) == BUSY;
+    // Evaluated each time this task is polled: a request may start while the select waits.
+    let has_open_request = || state.idle_since_ms.load(Ordering::Relaxed) == NOT_IDLE;
     loop {
         tokio::select! {
-            // First read what has come, then look at the phase: a request that waits in the socket when its
-            // idle connection is closed would have to be sent again.
+            // Input is read before the phase is checked: a request that waits in the socket when its idle
+            // connection is closed would have to be sent again.
             biased;
-            // Errors here are clients that left or wrote nonsense; hyper has answered those it can.
+            // Errors here are disconnects and malformed requests; hyper has answered the latter if it could.
             _ = connection.as_mut() => return,
-            // Its request is dropped with the connection, and with it what goes out for it.
-            () = poll_fn(|cx| if busy() { detector.poll_disconnected(cx) } else { Poll::Pending }) => return,
+            // Dropping the connection drops its open request, which cancels the attempts in flight.
+            () = poll_fn(|cx| {
+                if has_open_request() { detector.poll_disconnected(cx) } else { Poll::Pending }
+            }) => return,
             changed = phase.changed() => {
-                let now = *phase.borrow_and_update();
-                // A connection that has carried nothing yet is about to: it gets its one answer while
-                // clients may still come. The others are closed as soon as they carry nothing.
-                if changed.is_err() || now == ShutdownPhase::Closing || heard.load(Ordering::Relaxed) {
+                let new_phase = *phase.borrow_and_update();
+                // While draining, a connection without a request so far stays open for its first one. All others
+                // are closed as soon as they have no open request.
+                if changed.is_err()
+                    || new_phase == ShutdownPhase::Closing
+                    || has_received_request.load(Ordering::Relaxed)
+                {
                     connection.as_mut().graceful_shutdown();
                 }
                 if changed.is_err() {
@@ -319,9 +347,9 @@
                     return;
                 }
             }
-            () = slot.make_room.notified() => {
-                // A request may have come in this very moment: it is answered first.
-                if !busy() {
+            () = state.evict.notified() => {
+                // A request may have arrived since this connection was chosen: it is answered first.
+                if !has_open_request() {
                     return;
                 }
                 connection.as_mut().graceful_shutdown();
@@ -330,90 +358,103 @@
     }
 }
 
-/// Tells the driver when the client goes away before its answer.
-struct Guard<'a> {
+/// Notifies the driver when it is dropped before the response, that is, when the client has disconnected.
+struct DisconnectNotifier<'a> {
     request: RequestId,
     frontend: &'a Frontend,
-    answered: bool,
+    responded: bool,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for DisconnectNotifier<'_> {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.responded {
             let _ = self.frontend.events.send(DriverEvent::ClientDisconnected(self.request));
         }
     }
 }
 
-/// What is wrong with a request.
-type Malformed = (StatusCode, &'static str);
+/// Why a request is rejected: the status and body of the response.
+struct RequestError {
+    status: StatusCode,
+    reason: &'static str,
+}
+
+impl RequestError {
+    fn new(status: StatusCode, reason: &'static str) -> RequestError {
+        RequestError { status, reason }
+    }
+
+    fn bad_request(reason: &'static str) -> RequestError {
+        RequestError::new(StatusCode::BAD_REQUEST, reason)
+    }
+}
 
-async fn handle(
+async fn handle_request(
     request: Request<Incoming>,
     frontend: &Frontend,
-    slot: &Slot,
+    state: &ConnectionState,
     detector: DisconnectDetector,
-    whole_by: Instant,
+    body_deadline: Instant,
 ) -> Response<Full<Bytes>> {
     if request.uri().path() == "/up" {
-        let up = frontend.ready.load(Ordering::Relaxed);
-        return match (request.method() == Method::GET, up) {
-            (false, _) => plain(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
-            (true, true) => plain(StatusCode::OK, "up"),
-            (true, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
+        let ready = frontend.ready.load(Ordering::Relaxed);
+        return match (request.method() == Method::GET, ready) {
+            (false, _) => text_response(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
+            (true, true) => text_response(StatusCode::OK, "up"),
+            (true, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
         };
     }
-    let Checked { class, tenant, time_left, cost, id } = match check(&request, &frontend.names) {
-        Ok(checked) => checked,
-        Err((status, reason)) => return plain(status, reason),
+    let RequestHead { class, tenant, time_left, cost, id } = match parse_head(&request, &frontend.names) {
+        Ok(head) => head,
+        Err(RequestError { status, reason }) => return text_response(status, reason),
     };
-    let (head, body) = request.into_parts();
-    let body = match timeout_at(whole_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+    let (parts, body) = request.into_parts();
+    let body = match timeout_at(body_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
         }
-        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body is broken"),
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+        Ok(Err(_)) => return text_response(StatusCode::BAD_REQUEST, "the body is broken"),
+        Err(_) => return text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
     };
     let received_at = Instant::now();
-    slot.free_since.store(BUSY, Ordering::Relaxed);
-    // A client may name the whole URL; upstreams are asked for the path in any case.
-    let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
-    let request = RequestId(frontend.next_id.fetch_add(1, Ordering::Relaxed));
-    let (reply, answer) = oneshot::channel();
+    state.idle_since_ms.store(NOT_IDLE, Ordering::Relaxed);
+    // A request target in absolute form is reduced to path and query.
+    let target = parts.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
+    let request = RequestId(frontend.next_request_id.fetch_add(1, Ordering::Relaxed));
+    let (reply, response) = oneshot::channel();
     let forwarded =
-        ForwardedRequest { method: head.method, target, headers: end_to_end_headers(&head.headers), body };
-    // Dropped with this future, when the client has its answer or has gone.
-    let waiting = Arc::new(detector);
-    let client = Arc::downgrade(&waiting);
+        ForwardedRequest { method: parts.method, target, headers: end_to_end_headers(&parts.headers), body };
+    // Dropped with this future, when the client has its response or has disconnected.
+    let detector = Arc::new(detector);
+    let client = Arc::downgrade(&detector);
     let client_request =
         ClientRequest { request, class, tenant, id, received_at, time_left, cost, forwarded, client, reply };
-    let mut guard = Guard { request, frontend, answered: false };
+    let mut disconnect_notifier = DisconnectNotifier { request, frontend, responded: false };
     let _ = frontend.events.send(DriverEvent::RequestArrived(Box::new(client_request)));
-    let answer = answer.await;
-    guard.answered = true;
-    match answer {
+    let response = response.await;
+    disconnect_notifier.responded = true;
+    match response {
         Ok(FinalResponse::Served(headers, body)) => {
             let mut response = Response::new(Full::new(body));
             *response.headers_mut() = headers;
             response
         }
         Ok(FinalResponse::Refused(retry_after)) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let seconds = HeaderValue::from_str(&format!("{:.3}", retry_after / 1_000.0));
             if let (Ok(seconds), true) = (seconds, retry_after > 0.0) {
                 response.headers_mut().insert(header::RETRY_AFTER, seconds);
             }
             response
         }
-        Ok(FinalResponse::Rejected(status)) => plain(status, "the request cannot be served"),
-        Ok(FinalResponse::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Ok(FinalResponse::Rejected(status)) => text_response(status, "the request cannot be served"),
+        Ok(FinalResponse::Failed) | Err(_) => text_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-/// What the head of a sound request says.
-struct Checked {
+/// The validated contents of a request head.
+struct RequestHead {
     class: ClassId,
     tenant: TenantId,
     time_left: Duration,
@@ -421,85 +462,99 @@
     id: Box<str>,
 }
 
-/// Reads the head of a request. What upstreams could not use, or might read otherwise, never goes on to them.
-fn check(request: &Request<Incoming>, names: &NameTable) -> Result<Checked, Malformed> {
-    let bad = |reason| (StatusCode::BAD_REQUEST, reason);
-    let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let Some(class) = names.classes.iter().position(|(name, _)| name == first) else {
-        return Err((StatusCode::NOT_FOUND, "no such path"));
+/// Validates and parses a request head. Requests that upstreams could not use or might read differently are rejected.
+fn parse_head(request: &Request<Incoming>, names: &NameTable) -> Result<RequestHead, RequestError> {
+    let class_name = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
+    let Some(class) = names.classes.iter().position(|(name, _)| name == class_name) else {
+        return Err(RequestError::new(StatusCode::NOT_FOUND, "no such path"));
     };
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
     if !target.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(bad("the path is not plain text"));
+        return Err(RequestError::bad_request("the path is not plain text"));
     }
     let headers = request.headers();
-    // Clients send a length. Where a second framing stands beside it two readers may differ on where the body
-    // ends, and hyper drops a length that follows the other: so either alone is turned away.
+    // Guards against request smuggling: with both framings present, two parsers may disagree on where the body
+    // ends, and hyper drops a Content-Length after Transfer-Encoding. So Transfer-Encoding is rejected even alone.
     if headers.contains_key(header::TRANSFER_ENCODING) {
-        return Err((StatusCode::LENGTH_REQUIRED, "Content-Length is missing"));
+        return Err(RequestError::new(StatusCode::LENGTH_REQUIRED, "Content-Length is missing"));
     }
-    let length = match single(headers, "content-length")? {
-        Some(text) => number(text).ok_or(bad("Content-Length is not a number"))?,
+    let content_length = match single_header(headers, "content-length")? {
+        Some(text) => {
+            parse_decimal(text).ok_or(RequestError::bad_request("Content-Length is not a number"))?
+        }
         None => 0,
     };
-    if length > MAX_BODY_BYTES as u64 {
-        return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
+    if content_length > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
-    match single(headers, "x-priority-class")? {
-        None => return Err(bad("X-Priority-Class is missing")),
-        Some(name) if name != first => return Err(bad("X-Priority-Class does not fit the path")),
+    match single_header(headers, "x-priority-class")? {
+        None => return Err(RequestError::bad_request("X-Priority-Class is missing")),
+        Some(name) if name != class_name => {
+            return Err(RequestError::bad_request("X-Priority-Class does not fit the path"));
+        }
         Some(_) => {}
     }
-    let key = single(headers, "idempotency-key")?;
+    let idempotency_key = single_header(headers, "idempotency-key")?;
     match (request.method(), names.classes[class].1) {
-        (&Method::GET, Idempotency::Idempotent) if length > 0 => return Err(bad("GET has no body")),
+        (&Method::GET, Idempotency::Idempotent) if content_length > 0 => {
+            return Err(RequestError::bad_request("GET has no body"));
+        }
         (&Method::GET, Idempotency::Idempotent) => {}
-        // Without its key upstreams could not drop a repeat.
-        (&Method::POST, Idempotency::Keyed { .. }) if key.is_none_or(str::is_empty) => {
-            return Err(bad("Idempotency-Key is missing"));
+        // Upstreams need the key to deduplicate retries.
+        (&Method::POST, Idempotency::Keyed { .. }) if idempotency_key.is_none_or(str::is_empty) => {
+            return Err(RequestError::bad_request("Idempotency-Key is missing"));
         }
-        // A key promises that a repeat is dropped; for this class it is not.
-        (&Method::POST, Idempotency::NonIdempotent) if key.is_some() => {
-            return Err(bad("the class takes no Idempotency-Key"));
+        // A key promises deduplication, which this class does not have.
+        (&Method::POST, Idempotency::NonIdempotent) if idempotency_key.is_some() => {
+            return Err(RequestError::bad_request("the class takes no Idempotency-Key"));
         }
         (&Method::POST, Idempotency::Keyed { .. } | Idempotency::NonIdempotent) => {}
-        _ => return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class")),
+        _ => {
+            return Err(RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
+        }
     }
-    let id = single(headers, "x-request-id")?.filter(|id| !id.is_empty() && id.len() <= ID_BYTES);
-    let id = id.ok_or(bad("X-Request-ID is missing or too long"))?.into();
-    let time_left = single(headers, "x-timeout-ms")?.ok_or(bad("X-Timeout-Ms is missing"))?;
-    let time_left = number(time_left).filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
-    let time_left =
-        Duration::from_millis(time_left.ok_or(bad("X-Timeout-Ms is not a number of milliseconds"))?);
-    let tenant = match single(headers, "x-tenant-id")? {
+    let id = single_header(headers, "x-request-id")?
+        .filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES);
+    let id = id.ok_or(RequestError::bad_request("X-Request-ID is missing or too long"))?.into();
+    let timeout = single_header(headers, "x-timeout-ms")?
+        .ok_or(RequestError::bad_request("X-Timeout-Ms is missing"))?;
+    let timeout_ms = parse_decimal(timeout).filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
+    let time_left = Duration::from_millis(
+        timeout_ms.ok_or(RequestError::bad_request("X-Timeout-Ms is not a number of milliseconds"))?,
+    );
+    let tenant = match single_header(headers, "x-tenant-id")? {
         _ if names.tenants.is_empty() => 0,
-        None => return Err(bad("X-Tenant-Id is missing")),
-        Some(name) => names.tenants.iter().position(|n| n == name).ok_or(bad("unknown tenant"))?,
+        None => return Err(RequestError::bad_request("X-Tenant-Id is missing")),
+        Some(name) => names
+            .tenants
+            .iter()
+            .position(|tenant| tenant == name)
+            .ok_or(RequestError::bad_request("unknown tenant"))?,
     };
-    // No more than a hint: one that cannot be read is none.
+    // The cost is only a hint: an unreadable value is ignored.
     let cost = headers.get("x-cost").and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    Ok(Checked { class: ClassId(class), tenant: TenantId(tenant), time_left, cost, id })
+    Ok(RequestHead { class: ClassId(class), tenant: TenantId(tenant), time_left, cost, id })
 }
 
-/// A whole number in decimal digits and nothing else; `parse` alone would take a sign.
-fn number(text: &str) -> Option<u64> {
+/// Parses a number of decimal digits only; `parse` alone would accept a sign.
+fn parse_decimal(text: &str) -> Option<u64> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// The value of a header that must not come twice.
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Malformed> {
+/// The trimmed value of a header that must not be repeated; `None` if it is absent.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     match (value.to_str(), values.next()) {
         (Ok(text), None) => Ok(Some(text.trim())),
-        (Err(_), _) => Err((StatusCode::BAD_REQUEST, "a header is not text")),
-        (_, Some(_)) => Err((StatusCode::BAD_REQUEST, "a header comes twice")),
+        (Err(_), _) => Err(RequestError::bad_request("a header is not text")),
+        (_, Some(_)) => Err(RequestError::bad_request("a header comes twice")),
     }
 }
 
 /// Copies the end-to-end headers, leaving out hop-by-hop headers and those of message framing.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    const OF_CONNECTION: [HeaderName; 9] = [
+    const DROPPED_HEADERS: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
         header::TRAILER,
@@ -510,24 +565,24 @@
         header::PROXY_AUTHENTICATE,
         header::PROXY_AUTHORIZATION,
     ];
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut end_to_end = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let of_connection = OF_CONNECTION.contains(name) || name == "keep-alive";
-        if !of_connection && !named.iter().any(|n| n == name.as_str()) {
-            kept.append(name, value.clone());
+        let is_dropped = DROPPED_HEADERS.contains(name) || name == "keep-alive";
+        if !is_dropped && !connection_options.iter().any(|option| option == name.as_str()) {
+            end_to_end.append(name, value.clone());
         }
     }
-    kept
+    end_to_end
 }
 
-fn plain(status: StatusCode, reason: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from_static(reason.as_bytes())));
+fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
--- a/src/net/client_stream.rs
+++ b/src/net/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's connection as hyper sees it, and what hyper does not see: that the client has gone while its request
-//! waits. hyper reads no further once bytes stand behind a request that is open, and then hears of no end either.
+//! The stream of a client connection, and the detection of a disconnect while a request is open. hyper stops reading
+//! once it has buffered pipelined bytes, and then does not notice a disconnect.
 
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -12,85 +12,86 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// What is kept of the bytes behind an open request: the head of another. Clients send one at a time, so what is
-/// longer comes from none; it is read for its end alone, and the connection is of no more use after its answer.
-const AHEAD_BYTES: usize = 32 << 10;
-/// How much is read at once.
-const PIECE_BYTES: usize = 8 << 10;
-/// So many pieces are read in one go to find an end behind them: more than a socket holds by default (6 MiB). A
-/// client that writes on and on must not keep the others waiting.
-const PIECES_AT_ONCE: usize = 1 << 10;
-
-struct Reading {
+/// Capacity of the read-ahead buffer: room for the head of one pipelined request. Further bytes are read and dropped
+/// to find the end of the stream, and the connection is unusable after the response.
+const READ_AHEAD_BYTES: usize = 32 << 10;
+/// The number of bytes requested in one read.
+const READ_CHUNK_BYTES: usize = 8 << 10;
+/// Limit on the reads of one [`DisconnectDetector::is_disconnected`], so that a client that keeps writing does not
+/// block the others. All reads together exceed the default limit of a socket's receive buffer (6 MiB).
+const MAX_READS_PER_CHECK: usize = 1 << 10;
+
+/// The read half of the socket and the pipelined bytes already read from it.
+struct ReadSide {
     half: OwnedReadHalf,
-    /// Read from the socket and not yet by hyper.
-    ahead: BytesMut,
-    /// Bytes behind those were dropped: nothing that follows can be told apart.
-    cut: bool,
+    /// Read from the socket but not yet by hyper.
+    read_ahead: BytesMut,
+    /// Whether bytes after those in `read_ahead` were dropped. The rest of the stream can no longer be parsed.
+    overflowed: bool,
 }
 
-impl Reading {
-    /// Keeps what came behind an open request.
-    fn keep(&mut self, bytes: &[u8]) {
-        self.cut |= self.ahead.len() + bytes.len() > AHEAD_BYTES;
-        if !self.cut {
-            self.ahead.extend_from_slice(bytes);
+impl ReadSide {
+    /// Appends pipelined bytes to the read-ahead buffer, or drops them if they do not fit.
+    fn buffer(&mut self, bytes: &[u8]) {
+        self.overflowed |= self.read_ahead.len() + bytes.len() > READ_AHEAD_BYTES;
+        if !self.overflowed {
+            self.read_ahead.extend_from_slice(bytes);
         }
     }
 }
 
 /// The stream of a client connection that hyper reads from and writes to.
 pub struct ClientStream {
-    reading: Arc<Mutex<Reading>>,
-    writing: OwnedWriteHalf,
+    read_side: Arc<Mutex<ReadSide>>,
+    write_half: OwnedWriteHalf,
 }
 
 /// Detects that the client has disconnected while its request is open.
 #[derive(Clone)]
-pub struct DisconnectDetector(Arc<Mutex<Reading>>);
+pub struct DisconnectDetector(Arc<Mutex<ReadSide>>);
 
-fn lock(reading: &Mutex<Reading>) -> MutexGuard<'_, Reading> {
-    reading.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(read_side: &Mutex<ReadSide>) -> MutexGuard<'_, ReadSide> {
+    read_side.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ClientStream {
     /// Wraps a stream and returns it with its detector.
     pub fn new(stream: TcpStream) -> (ClientStream, DisconnectDetector) {
-        let (half, writing) = stream.into_split();
-        let reading = Arc::new(Mutex::new(Reading { half, ahead: BytesMut::new(), cut: false }));
-        let detector = DisconnectDetector(reading.clone());
-        (ClientStream { reading, writing }, detector)
+        let (half, write_half) = stream.into_split();
+        let read_side =
+            Arc::new(Mutex::new(ReadSide { half, read_ahead: BytesMut::new(), overflowed: false }));
+        let detector = DisconnectDetector(read_side.clone());
+        (ClientStream { read_side, write_half }, detector)
     }
 }
 
 impl DisconnectDetector {
-    /// Ready once the client has closed, half-closed or reset its connection. Reads ahead of hyper to find out,
-    /// so it is only to be polled while a request is open.
+    /// Ready once the client has closed, half-closed or reset its connection. It reads ahead of hyper to find out,
+    /// so it may only be polled while a request is open.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let reading = &mut *lock(&self.0);
-        let mut piece = [0; PIECE_BYTES];
+        let read_side = &mut *lock(&self.0);
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
-            let mut buf = ReadBuf::new(&mut piece);
-            let read = ready!(Pin::new(&mut reading.half).poll_read(cx, &mut buf));
+            let mut buf = ReadBuf::new(&mut chunk);
+            let read = ready!(Pin::new(&mut read_side.half).poll_read(cx, &mut buf));
             if read.is_err() || buf.filled().is_empty() {
                 return Poll::Ready(());
             }
-            reading.keep(buf.filled());
+            read_side.buffer(buf.filled());
         }
     }
 
-    /// Whether the client has disconnected by now. Queries the socket directly: the runtime learns of an end only when
-    /// it next polls the kernel, and timers that came due while the process was held up fire before that. To be called
-    /// only while a request is open: hyper reads what was read here when it continues after the response, since the
-    /// runtime does not wake it for that.
+    /// Whether the client has disconnected by now. It queries the socket directly, since after the process was paused
+    /// the runtime fires overdue timers before it polls the kernel. It may only be called while a request is open: the
+    /// runtime does not wake hyper for bytes that were read here; hyper reads them once the response is written.
     pub fn is_disconnected(&self) -> bool {
-        let reading = &mut *lock(&self.0);
-        let mut piece = [0; PIECE_BYTES];
-        for _ in 0..PIECES_AT_ONCE {
-            let read = (&*SockRef::from(reading.half.as_ref())).read(&mut piece);
+        let read_side = &mut *lock(&self.0);
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        for _ in 0..MAX_READS_PER_CHECK {
+            let read = (&*SockRef::from(read_side.half.as_ref())).read(&mut chunk);
             match read {
                 Ok(0) => return true,
-                Ok(count) => reading.keep(&piece[..count]),
+                Ok(count) => read_side.buffer(&chunk[..count]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
@@ -101,23 +102,26 @@
 
 impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let reading = &mut *lock(&self.reading);
-        if !reading.ahead.is_empty() {
-            let count = reading.ahead.len().min(buf.remaining());
-            buf.put_slice(&reading.ahead[..count]);
-            reading.ahead.advance(count);
+        let read_side = &mut *lock(&self.read_side);
+        if !read_side.read_ahead.is_empty() {
+            let count = read_side.read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_side.read_ahead[..count]);
+            read_side.read_ahead.advance(count);
             return Poll::Ready(Ok(()));
         }
-        if reading.cut {
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "too much behind a request")));
+        if read_side.overflowed {
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "pipelined bytes exceed the read-ahead buffer",
+            )));
         }
-        Pin::new(&mut reading.half).poll_read(cx, buf)
+        Pin::new(&mut read_side.half).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for ClientStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.writing).poll_write(cx, buf)
+        Pin::new(&mut self.write_half).poll_write(cx, buf)
     }
 
     fn poll_write_vectored(
@@ -125,18 +129,18 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.writing).poll_write_vectored(cx, bufs)
+        Pin::new(&mut self.write_half).poll_write_vectored(cx, bufs)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.writing.is_write_vectored()
+        self.write_half.is_write_vectored()
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.writing).poll_flush(cx)
+        Pin::new(&mut self.write_half).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.writing).poll_shutdown(cx)
+        Pin::new(&mut self.write_half).poll_shutdown(cx)
     }
 }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -1,20 +1,20 @@
-//! The budget of descriptors: what the configuration allows, and what turns out to be there.
+//! The file-descriptor budget of the process: the configured limit, and a lower one if descriptors run out.
 //!
-//! A process that may hold `limits.sockets` descriptors holds at most
+//! Of the `limits.sockets` descriptors that the configuration allows, [`RESERVED_DESCRIPTORS`] are set aside:
 //!
-//! | how many | what for |
+//! | descriptors | purpose |
 //! | --- | --- |
 //! | 3 | standard streams |
-//! | 1 | the listener |
-//! | 3 | the runtime's poll, its own handle on it, and what wakes it |
-//! | 3 | signals: a pair of sockets and the runtime's handle on one |
-//! | 1 | the configuration, while it is read at SIGHUP |
-//! | 10 | discovery: the calls that may hang, the next one, and one that is being closed |
-//! | 3 | spare, for what whoever starts the process may leave open in it |
+//! | 1 | listener |
+//! | 3 | epoll instance of the runtime, its duplicate, and the waker |
+//! | 3 | signals: a socket pair and the runtime's duplicate of one end |
+//! | 1 | configuration file, while it is read on SIGHUP |
+//! | 10 | discovery: calls without a response, the next call, and one being closed |
+//! | 3 | spare, for descriptors inherited from the parent process |
 //!
-//! which is [`RESERVED_DESCRIPTORS`], and of the rest one half for clients, those being closed for others among them,
-//! and one half for servers. Each of the two is held on its own: however many idle clients there are, they take
-//! nothing of what discovery and the servers need.
+//! The rest is divided equally between client connections, including those being evicted, and upstream connections.
+//! The two limits are enforced separately, so that idle clients cannot exhaust the descriptors of discovery and the
+//! upstreams.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,64 +26,64 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep};
 
-/// Descriptors set aside for everything but client and upstream connections: the table above.
+/// Descriptors set aside for everything but client and upstream connections, as in the table above.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// What of it is always open: all but the configuration, discovery and what is spare.
-const ALWAYS: usize = 10;
-/// The error of an operation that would open one descriptor more than this process may hold (POSIX, EMFILE).
-const TOO_MANY_OPEN_FILES: i32 = 24;
-/// The wait before a connection is tried again that lacked a descriptor: idle clients are closed meanwhile, and
-/// the shortest deadlines are tens of milliseconds.
-const AGAIN: Duration = Duration::from_millis(5);
-/// What is over the limit that was found is closed by then. Before, less and less is held while others still lack a
-/// descriptor: counted again, it would look like an ever lower limit.
-const CLOSED_AFTER: Duration = Duration::from_secs(1);
+/// The reserved descriptors that are always open: all but those of the configuration file, discovery and the spares.
+const ALWAYS_OPEN_DESCRIPTORS: usize = 10;
+/// The error number of an operation that would exceed the descriptor limit of the process (POSIX).
+const EMFILE: i32 = 24;
+/// The delay before connecting is retried without a free descriptor. Idle clients are evicted meanwhile; the shortest
+/// deadlines are tens of milliseconds.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// The minimum time between two reductions of the limit. Until the connections above a reduced limit are closed,
+/// operations still fail while fewer and fewer descriptors are in use, which would reduce the limit again and again.
+const LIMIT_REDUCTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many connections there may be on each side. The limit in force may be lower than the configured one: who
-/// finds no descriptor says so, and from then on there are fewer.
+/// The limit on connections on each side, that is, of clients and to upstreams. It starts at the configured value and
+/// is lowered when an operation finds no free descriptor.
 pub struct Descriptors {
-    /// How many the configuration allows.
-    configured: usize,
-    /// How many there may be on each side.
-    each: AtomicUsize,
-    /// For connections to servers; as many as are configured.
-    permits: Arc<Semaphore>,
-    /// Told when there was no descriptor.
-    lacking: Notify,
-    /// When it was last worked out how many there may be.
-    counted_at: Mutex<Option<Instant>>,
+    /// The configured limit on each side.
+    configured_limit: usize,
+    /// The current limit on each side.
+    current_limit: AtomicUsize,
+    /// Permits for upstream connections, as many as the configured limit.
+    upstream_permits: Arc<Semaphore>,
+    /// Notified when an operation found no free descriptor.
+    exhausted: Notify,
+    /// When [`Descriptors::lower_limit`] last computed the limit.
+    limit_computed_at: Mutex<Option<Instant>>,
 }
 
 /// Whether an operation failed because the process has reached its limit of open descriptors.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
-    error.raw_os_error() == Some(TOO_MANY_OPEN_FILES)
+    error.raw_os_error() == Some(EMFILE)
 }
 
 impl Descriptors {
-    /// So many connections on each side.
-    pub fn new(each: usize) -> Descriptors {
+    /// A budget with this limit on connections on each side.
+    pub fn new(limit: usize) -> Descriptors {
         Descriptors {
-            configured: each,
-            each: AtomicUsize::new(each),
-            permits: Arc::new(Semaphore::new(each)),
-            lacking: Notify::new(),
-            counted_at: Mutex::new(None),
+            configured_limit: limit,
+            current_limit: AtomicUsize::new(limit),
+            upstream_permits: Arc::new(Semaphore::new(limit)),
+            exhausted: Notify::new(),
+            limit_computed_at: Mutex::new(None),
         }
     }
 
     /// The current limit on connections on each side.
     pub fn connections_per_side(&self) -> usize {
-        self.each.load(Ordering::Relaxed)
+        self.current_limit.load(Ordering::Relaxed)
     }
 
-    /// How many connections to servers there are.
-    fn servers(&self) -> usize {
-        self.configured - self.permits.available_permits()
+    /// The number of upstream connections that hold a permit.
+    fn upstream_connections(&self) -> usize {
+        self.configured_limit - self.upstream_permits.available_permits()
     }
 
     /// Whether the upstream connections, with `wanted` more, exceed the limit.
     pub fn is_over_limit(&self, wanted: usize) -> bool {
-        self.servers() + wanted > self.connections_per_side()
+        self.upstream_connections() + wanted > self.connections_per_side()
     }
 
     /// Returns a permit for one more upstream connection, unless the limit is reached.
@@ -91,34 +91,35 @@
         if self.is_over_limit(1) {
             return None;
         }
-        self.permits.clone().try_acquire_owned().ok()
+        self.upstream_permits.clone().try_acquire_owned().ok()
     }
 
     /// Reports that an operation found no free descriptor.
     pub fn report_exhausted(&self) {
-        self.lacking.notify_one();
+        self.exhausted.notify_one();
     }
 
     /// Waits until an operation has found no free descriptor.
     pub async fn exhausted(&self) {
-        self.lacking.notified().await;
+        self.exhausted.notified().await;
     }
 
-    /// Lowers the limit after an operation found no free descriptor while `clients` clients were connected: what is
-    /// held now is all that there is, and discovery needs its share of it. Returns whether the limit became lower.
+    /// Lowers the limit after an operation found no free descriptor while `clients` clients were connected. The
+    /// descriptors in use at that moment are taken as the budget, and the reserved ones are deducted from it. Returns
+    /// whether the limit became lower.
     pub fn lower_limit(&self, clients: usize) -> bool {
-        let mut counted_at = self.counted_at.lock().unwrap_or_else(PoisonError::into_inner);
-        if counted_at.is_some_and(|at| at.elapsed() < CLOSED_AFTER) {
+        let mut limit_computed_at = self.limit_computed_at.lock().unwrap_or_else(PoisonError::into_inner);
+        if limit_computed_at.is_some_and(|at| at.elapsed() < LIMIT_REDUCTION_INTERVAL) {
             return false;
         }
-        *counted_at = Some(Instant::now());
-        let all = ALWAYS + clients + self.servers();
-        let each = (all.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1);
-        self.each.fetch_min(each, Ordering::Relaxed) > each
+        *limit_computed_at = Some(Instant::now());
+        let open_descriptors = ALWAYS_OPEN_DESCRIPTORS + clients + self.upstream_connections();
+        let limit = (open_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1);
+        self.current_limit.fetch_min(limit, Ordering::Relaxed) > limit
     }
 
-    /// Connects, retrying until a descriptor is free. `exhausted` tells whether the last try found none, also when this
-    /// future is dropped.
+    /// Connects, retrying until a descriptor is free. `exhausted` is set to whether the last attempt found none, and
+    /// stays readable when this future is dropped.
     pub async fn connect(&self, address: SocketAddr, exhausted: &mut bool) -> io::Result<TcpStream> {
         loop {
             let result = TcpStream::connect(address).await;
@@ -127,7 +128,7 @@
                 return result;
             }
             self.report_exhausted();
-            sleep(AGAIN).await;
+            sleep(CONNECT_RETRY_DELAY).await;
         }
     }
 }
--- a/src/net/upstream_stream.rs
+++ b/src/net/upstream_stream.rs
@@ -1,5 +1,5 @@
-//! A stream to an upstream that knows what has crossed it: how many bytes were written, which tells whether a
-//! request can have arrived, and whether an answer has begun, which tells what belongs to which request.
+//! A stream to an upstream that records the progress of its exchanges: the bytes written, which tell whether a
+//! request can have arrived, and whether a request is outstanding, which tells its response from unsolicited bytes.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,67 +13,72 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Progress of the current exchange on a connection. Shared with the stream, since hyper owns that.
+/// Progress of the current exchange on a connection. Shared with the stream, which hyper owns.
 #[derive(Default)]
 pub struct ExchangeProgress {
-    written: AtomicU64,
-    read: AtomicU64,
-    /// Whether a request has begun to be written that has no whole answer yet.
-    asked: AtomicBool,
-    /// Whether bytes of its answer have come, and who waits for that.
-    answering: AtomicBool,
-    began: Notify,
+    bytes_written: AtomicU64,
+    bytes_read: AtomicU64,
+    /// Whether a request has been started whose response is not complete.
+    request_outstanding: AtomicBool,
+    /// Whether a response has started that is not complete.
+    reading_response: AtomicBool,
+    /// Notified when a response starts.
+    response_start: Notify,
 }
 
 impl ExchangeProgress {
     /// The number of bytes that the kernel has accepted so far.
     pub fn bytes_written(&self) -> u64 {
-        self.written.load(Ordering::Relaxed)
+        self.bytes_written.load(Ordering::Relaxed)
     }
 
     /// The number of bytes read so far.
     pub fn bytes_read(&self) -> u64 {
-        self.read.load(Ordering::Relaxed)
+        self.bytes_read.load(Ordering::Relaxed)
     }
 
     /// Waits until the first byte of a response has been read.
     pub async fn response_started(&self) {
-        while !self.answering.load(Ordering::Relaxed) {
-            self.began.notified().await;
+        while !self.reading_response.load(Ordering::Relaxed) {
+            self.response_start.notified().await;
         }
     }
 
     /// Records that the head of the final response was read.
     pub fn mark_response_started(&self) {
-        if !self.answering.swap(true, Ordering::Relaxed) {
-            self.began.notify_one();
+        if !self.reading_response.swap(true, Ordering::Relaxed) {
+            self.response_start.notify_one();
         }
     }
 
     /// Whether a response has begun and is not complete.
     pub fn is_reading_response(&self) -> bool {
-        self.answering.load(Ordering::Relaxed)
+        self.reading_response.load(Ordering::Relaxed)
     }
 
     /// Records that an informational (1xx) response was read: the final response is still to come.
     pub fn mark_response_pending(&self) {
-        self.answering.store(false, Ordering::Relaxed);
+        self.reading_response.store(false, Ordering::Relaxed);
     }
 
-    /// Records that the response is complete: bytes that arrive before the next request belong to no request.
+    /// Records that the response is complete: bytes that arrive before the next request are unsolicited.
     pub fn mark_response_complete(&self) {
-        self.asked.store(false, Ordering::Relaxed);
-        self.answering.store(false, Ordering::Relaxed);
+        self.request_outstanding.store(false, Ordering::Relaxed);
+        self.reading_response.store(false, Ordering::Relaxed);
     }
 
-    fn count_read(&self, bytes: usize) -> io::Result<()> {
+    /// Records bytes that were read. Fails if they are unsolicited.
+    fn record_read(&self, bytes: usize) -> io::Result<()> {
         if bytes == 0 {
             return Ok(());
         }
-        if !self.asked.load(Ordering::Relaxed) {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "bytes that no request asked for"));
+        if !self.request_outstanding.load(Ordering::Relaxed) {
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "received bytes while no request was outstanding",
+            ));
         }
-        self.read.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.bytes_read.fetch_add(bytes as u64, Ordering::Relaxed);
         self.mark_response_started();
         Ok(())
     }
@@ -92,28 +97,30 @@
         (UpstreamStream { stream, progress: progress.clone() }, progress)
     }
 
-    /// Before the first byte of a request goes out: bytes that wait in the socket now would be read as its
-    /// answer, and one that the upstream has closed would swallow it. The socket itself is asked, since the
-    /// runtime hears of what came only when it next turns to the kernel.
-    fn begin(&self) -> io::Result<()> {
-        if self.progress.asked.load(Ordering::Relaxed) {
+    /// Marks a request as outstanding before its first byte is written; does nothing on later writes. Fails if the
+    /// socket holds unsolicited bytes, which would be read as the response, or if the upstream has closed it. Queries
+    /// the socket directly, since the runtime may not have polled the kernel after the bytes arrived.
+    fn start_request(&self) -> io::Result<()> {
+        if self.progress.request_outstanding.load(Ordering::Relaxed) {
             return Ok(());
         }
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit(); 1]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                self.progress.asked.store(true, Ordering::Relaxed);
+                self.progress.request_outstanding.store(true, Ordering::Relaxed);
                 Ok(())
             }
             Err(error) => Err(error),
-            Ok(_) => {
-                Err(io::Error::new(io::ErrorKind::NotConnected, "the idle connection is of no more use"))
-            }
+            Ok(_) => Err(io::Error::new(
+                io::ErrorKind::NotConnected,
+                "the idle connection was closed by the upstream or received unsolicited bytes",
+            )),
         }
     }
 
-    fn count(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    /// Adds the bytes of a successful write to the total.
+    fn record_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = result {
-            self.progress.written.fetch_add(bytes as u64, Ordering::Relaxed);
+            self.progress.bytes_written.fetch_add(bytes as u64, Ordering::Relaxed);
         }
         result
     }
@@ -125,21 +132,21 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        let counted = self.progress.count_read(buf.filled().len() - before);
-        // Where the upstream's kernel holds small writes back, what it says behind an answer would come only with
-        // our acknowledgement, up to 40 ms later. A kernel that knows no such thing does without.
+        let recorded = self.progress.record_read(buf.filled().len() - filled_before);
+        // Under Nagle's algorithm the upstream's kernel holds back a small write until our acknowledgement, which can
+        // be delayed by up to 40 ms. The error of platforms without TCP_QUICKACK is ignored.
         let _ = SockRef::from(&self.stream).set_tcp_quickack(true);
-        Poll::Ready(counted)
+        Poll::Ready(recorded)
     }
 }
 
 impl AsyncWrite for UpstreamStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.begin()?;
+        self.start_request()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn poll_write_vectored(
@@ -147,9 +154,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.begin()?;
+        self.start_request()?;
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
