--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -33,8 +33,8 @@
 const LISTEN_BACKLOG: u32 = 4096;
 /// Limit on the read buffer of a connection, and thereby on the size of a request head.
 const MAX_BUFFER_BYTES: usize = 32 << 10;
-/// A connection on which no complete request head arrives for this long is closed. Clients keep idle connections
-/// open indefinitely: one without any request must be closed within 3 s, a used one not before 2 s.
+/// A connection on which no complete request head arrives for this long is closed, since clients keep idle connections
+/// open indefinitely. One without any request must be closed within 3 s, a used one not before it was idle for 2 s.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// The header read timeout of connections that are accepted in [`ShutdownPhase::Closing`].
 const CLOSING_HEADER_READ_TIMEOUT: Duration = Duration::from_millis(150);
@@ -44,7 +44,7 @@
 /// A connection is not evicted before it has been idle for this long: its last response may still be on the way to
 /// the client, or its first request on the way to the sidecar.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
-/// The number of connections below the limit that are kept free for new clients while evicted ones close.
+/// The part of the connection limit that is kept free for new clients while evicted connections close.
 const EVICTION_HEADROOM: usize = 8;
 /// Limit on the length of a request id, which is stored while the request is open.
 const MAX_REQUEST_ID_BYTES: usize = 256;
@@ -67,7 +67,7 @@
 
 /// The classes and tenants that requests may name, indexed by id.
 pub struct NameTable {
-    /// Names and effects of the classes, by class id.
+    /// Names and idempotency of the classes, by class id.
     pub classes: Vec<(String, Idempotency)>,
     /// Names of the tenants, by tenant id.
     pub tenants: Vec<String>,
@@ -117,7 +117,7 @@
     pub cost: Option<f64>,
     /// The parts that are forwarded to upstreams.
     pub forwarded: ForwardedRequest,
-    /// Detects whether the client has disconnected; can be upgraded while the client is owed a response.
+    /// Detects whether the client has disconnected; can be upgraded until the request has its response.
     pub client: Weak<DisconnectDetector>,
     /// Receives the final response.
     pub reply: oneshot::Sender<FinalResponse>,
@@ -143,14 +143,7 @@
         phase: watch::Receiver<ShutdownPhase>,
         events: mpsc::UnboundedSender<DriverEvent>,
     ) -> Frontend {
-        Frontend {
-            names,
-            ready: AtomicBool::new(false),
-            phase,
-            events,
-            // The decision module reserves timer 0 and derives the timer of a request from half its id.
-            next_request_id: AtomicU64::new(2),
-        }
+        Frontend { names, ready: AtomicBool::new(false), phase, events, next_request_id: AtomicU64::new(2) }
     }
 }
 
@@ -232,8 +225,8 @@
                 Err(error) => {
                     log::line(format!("cannot accept a client: {error}"));
                     if is_out_of_descriptors(&error) {
-                        // Not after the backoff: clients that disconnect during it would make the number of
-                        // descriptors in use look smaller.
+                        // The limit is lowered before the backoff: it is computed from the number of clients, and
+                        // some may disconnect meanwhile.
                         lower_connection_limit(&descriptors, &frontend, tasks.len(), &mut table);
                     } else {
                         table.evict_longest_idle();
@@ -272,7 +265,7 @@
     connection_limit.saturating_sub(EVICTION_HEADROOM).max(connection_limit / 2).max(1)
 }
 
-/// Removes a connection whose task has ended. A panic in one task does not affect other connections.
+/// Removes a connection whose task has ended, normally or by a panic. Other connections are not affected.
 fn remove_ended(table: &mut ConnectionTable, ended: Result<(Id, ()), tokio::task::JoinError>) {
     let id = match ended {
         Ok((id, ())) => id,
--- a/src/net/client_stream.rs
+++ b/src/net/client_stream.rs
@@ -23,7 +23,7 @@
 
 /// The read half of the socket and the pipelined bytes already read from it.
 struct ReadSide {
-    half: OwnedReadHalf,
+    read_half: OwnedReadHalf,
     /// Read from the socket but not yet by hyper.
     read_ahead: BytesMut,
     /// Whether bytes after those in `read_ahead` were dropped. The rest of the stream can no longer be parsed.
@@ -57,9 +57,9 @@
 impl ClientStream {
     /// Wraps a stream and returns it with its detector.
     pub fn new(stream: TcpStream) -> (ClientStream, DisconnectDetector) {
-        let (half, write_half) = stream.into_split();
+        let (read_half, write_half) = stream.into_split();
         let read_side =
-            Arc::new(Mutex::new(ReadSide { half, read_ahead: BytesMut::new(), overflowed: false }));
+            Arc::new(Mutex::new(ReadSide { read_half, read_ahead: BytesMut::new(), overflowed: false }));
         let detector = DisconnectDetector(read_side.clone());
         (ClientStream { read_side, write_half }, detector)
     }
@@ -73,7 +73,7 @@
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             let mut buf = ReadBuf::new(&mut chunk);
-            let read = ready!(Pin::new(&mut read_side.half).poll_read(cx, &mut buf));
+            let read = ready!(Pin::new(&mut read_side.read_half).poll_read(cx, &mut buf));
             if read.is_err() || buf.filled().is_empty() {
                 return Poll::Ready(());
             }
@@ -88,7 +88,7 @@
         let read_side = &mut *lock(&self.0);
         let mut chunk = [0; READ_CHUNK_BYTES];
         for _ in 0..MAX_READS_PER_CHECK {
-            let read = (&*SockRef::from(read_side.half.as_ref())).read(&mut chunk);
+            let read = (&*SockRef::from(read_side.read_half.as_ref())).read(&mut chunk);
             match read {
                 Ok(0) => return true,
                 Ok(count) => read_side.buffer(&chunk[..count]),
@@ -115,7 +115,7 @@
                 "pipelined bytes exceed the read-ahead buffer",
             )));
         }
-        Pin::new(&mut read_side.half).poll_read(cx, buf)
+        Pin::new(&mut read_side.read_half).poll_read(cx, buf)
     }
 }
 
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! The budget of descriptors: whatever clients hold, discovery and the servers get their sockets.
+//! The file-descriptor budget: however many connections clients hold open, discovery and upstreams get descriptors, and
+//! the process stays within its limit.
 
 mod loopback;
 
@@ -10,83 +11,85 @@
 
 use loopback::*;
 
-/// A newcomer is owed an answer or a close in this time.
-const OWED: Duration = Duration::from_secs(3);
-/// What discovery has to tell counts as told at the latest this long after it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// The time within which a new client must get a response or a close.
+const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
+/// The time within which a change must be applied once discovery responds again.
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
 
-/// Discovery that hangs for as long as it is down: it takes calls and says nothing on them, also later.
-struct Agent {
+/// A discovery server that can be made unresponsive: it then accepts calls and never responds to them.
+struct InterruptibleDiscovery {
     address: SocketAddr,
-    up: Arc<AtomicBool>,
-    calls: Arc<AtomicUsize>,
-    answered: Arc<Mutex<Vec<TcpStream>>>,
+    responsive: Arc<AtomicBool>,
+    call_count: Arc<AtomicUsize>,
+    /// The open watches.
+    watches: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Agent {
-    /// One that is down and will tell this.
-    fn down(list: String) -> Agent {
+impl InterruptibleDiscovery {
+    /// Starts an unresponsive server that will send this host list on its watches.
+    fn start_unresponsive(list: String) -> InterruptibleDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let agent = Agent {
+        let discovery = InterruptibleDiscovery {
             address: listener.local_addr().unwrap(),
-            up: Arc::default(),
-            calls: Arc::default(),
-            answered: Arc::default(),
+            responsive: Arc::default(),
+            call_count: Arc::default(),
+            watches: Arc::default(),
         };
-        let (up, calls, answered) = (agent.up.clone(), agent.calls.clone(), agent.answered.clone());
+        let (responsive, call_count, watches) =
+            (discovery.responsive.clone(), discovery.call_count.clone(), discovery.watches.clone());
         std::thread::spawn(move || {
-            let mut unanswered = Vec::new();
+            let mut hanging_calls = Vec::new();
             for mut stream in listener.incoming().flatten() {
-                calls.fetch_add(1, Ordering::SeqCst);
-                if !up.load(Ordering::SeqCst) {
-                    unanswered.push(stream);
+                call_count.fetch_add(1, Ordering::SeqCst);
+                if !responsive.load(Ordering::SeqCst) {
+                    hanging_calls.push(stream);
                     continue;
                 }
-                stream.set_read_timeout(Some(OWED)).unwrap();
+                stream.set_read_timeout(Some(MAX_CLIENT_WAIT)).unwrap();
                 let _ = read_message(&mut BufReader::new(&stream));
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 let _ = write!(stream, "{:x}\r\n{list}\n\r\n", list.len() + 1);
-                answered.lock().unwrap().push(stream);
+                watches.lock().unwrap().push(stream);
             }
         });
-        let answered = agent.answered.clone();
+        let watches = discovery.watches.clone();
         std::thread::spawn(move || {
             loop {
                 std::thread::sleep(Duration::from_secs(1));
-                answered.lock().unwrap().retain_mut(|stream| stream.write_all(b"1\r\n\n\r\n").is_ok());
+                watches.lock().unwrap().retain_mut(|stream| stream.write_all(b"1\r\n\n\r\n").is_ok());
             }
         });
-        agent
+        discovery
     }
 
-    fn returns(&self) {
-        self.up.store(true, Ordering::SeqCst);
+    fn resume(&self) {
+        self.responsive.store(true, Ordering::SeqCst);
     }
 
-    /// Ends all watches and hangs from now on.
-    fn fails(&self) {
-        self.up.store(false, Ordering::SeqCst);
-        self.answered.lock().unwrap().clear();
+    /// Closes all watches and becomes unresponsive.
+    fn interrupt(&self) {
+        self.responsive.store(false, Ordering::SeqCst);
+        self.watches.lock().unwrap().clear();
     }
 }
 
-/// Clients that connect, say nothing and come again as soon as they are closed.
-struct Idlers {
+/// Clients that connect, send nothing, and reconnect as soon as they are closed.
+struct IdleClients {
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Idlers {
-    /// So many at a time.
-    fn new(address: SocketAddr, count: usize) -> Idlers {
+impl IdleClients {
+    /// Keeps `count` clients connected until dropped.
+    fn new(address: SocketAddr, count: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
+        let stop_requested = stop.clone();
         let thread = std::thread::spawn(move || {
             let mut open: Vec<TcpStream> = Vec::new();
-            while !stopped.load(Ordering::SeqCst) {
+            while !stop_requested.load(Ordering::SeqCst) {
                 open.retain(|stream| {
-                    let closed = stream.peek(&mut [0]);
-                    matches!(closed, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
+                    let peeked = stream.peek(&mut [0]);
+                    matches!(peeked, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
                 });
                 while open.len() < count {
                     let Ok(stream) = TcpStream::connect(address) else { break };
@@ -96,116 +99,134 @@
                 std::thread::sleep(Duration::from_millis(10));
             }
         });
-        Idlers { stop, thread: Some(thread) }
+        IdleClients { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Idlers {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         let _ = self.thread.take().map(std::thread::JoinHandle::join);
     }
 }
 
-/// The descriptors that the program holds.
-fn held(sidecar: &Sidecar) -> usize {
+/// The number of descriptors that the sidecar has open.
+fn open_descriptors(sidecar: &Sidecar) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", sidecar.child.id())).unwrap().count()
 }
 
-/// Asks as a newcomer. Closed without an answer it comes again, as a client does: what counts is the time until
-/// an answer or a close.
-fn newcomer(address: SocketAddr) -> Option<u16> {
-    let began = Instant::now();
+/// Sends a request on a new connection and returns the status, or `None` if the connection was closed without a
+/// response. Either must happen within [`MAX_CLIENT_WAIT`].
+fn request_status(address: SocketAddr) -> Option<u16> {
+    let start = Instant::now();
     let mut client = Client::connect(address);
     client.send("fetch", 2_500);
-    let status = client.read().map(|answer| answer.status());
-    assert!(began.elapsed() < OWED, "a newcomer waited {:?} for {status:?}", began.elapsed());
+    let status = client.read().map(|response| response.status());
+    assert!(start.elapsed() < MAX_CLIENT_WAIT, "a new client waited {:?} for {status:?}", start.elapsed());
     status
 }
 
-fn assert_in_order(sidecar: &mut Sidecar) {
-    assert!(sidecar.child.try_wait().unwrap().is_none(), "it runs on");
+fn assert_running_without_panic(sidecar: &mut Sidecar) {
+    assert!(sidecar.child.try_wait().unwrap().is_none(), "the sidecar has exited");
     let log = sidecar.log.lock().unwrap();
     assert!(!log.iter().any(|line| line.contains("panicked")), "{log:?}");
 }
 
-fn modes() -> [String; 2] {
+/// The default settings in either membership mode.
+fn settings_per_membership_mode() -> [String; 2] {
     ["automatic", "subscribe"].map(|mode| SETTINGS_JSON.replace("automatic", mode))
 }
 
-/// Waits for the server that only discovery knows, with newcomers whom others crowd.
-fn serves_in_time(sidecar: &Sidecar, newly: &Upstream, by: Instant) {
-    while newly.requests().is_empty() {
-        newcomer(sidecar.address);
-        assert!(Instant::now() < by, "discovery was not heard: {:?}", sidecar.log.lock().unwrap());
+/// Sends requests until one reaches an upstream that only discovery lists, which must happen by the deadline.
+fn assert_served_by(sidecar: &Sidecar, upstream: &Upstream, deadline: Instant) {
+    while upstream.requests().is_empty() {
+        request_status(sidecar.address);
+        assert!(
+            Instant::now() < deadline,
+            "the host list was not applied: {:?}",
+            sidecar.log.lock().unwrap()
+        );
     }
 }
 
-/// With the limit that the process is told of, or `real`, discovery is heard when it returns: after it was down
-/// from the start, after it went down, and at a new address.
-fn discovery_is_heard(sockets: usize, real: usize) {
-    for settings in modes() {
+/// With a configured and an actual descriptor limit, changes are applied once discovery is responsive: after it was
+/// unresponsive from the start, after an interruption, and at a new address.
+fn assert_discovery_recovers(configured_limit: usize, actual_limit: usize) {
+    for settings in settings_per_membership_mode() {
         let [a, b, c, d] = [0; 4].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-        let agent = Agent::down(host_list(6, true, &[host_entry("b", b.address, "ready")]));
-        let text = |address, known: &str| config_json("127.0.0.1:0", address, known, sockets, &settings);
-        let first = text(agent.address, &ready_hosts(&[&a]));
-        let mut sidecar = Sidecar::start_with_descriptor_limit(&first, Some(real as u32));
+        let discovery = InterruptibleDiscovery::start_unresponsive(host_list(
+            6,
+            true,
+            &[host_entry("b", b.address, "ready")],
+        ));
+        let config =
+            |address, known: &str| config_json("127.0.0.1:0", address, known, configured_limit, &settings);
+        let initial_config = config(discovery.address, &ready_hosts(&[&a]));
+        let mut sidecar = Sidecar::start_with_descriptor_limit(&initial_config, Some(actual_limit as u32));
         sidecar.wait_until_up();
-        let idlers = Idlers::new(sidecar.address, 2 * real);
-        // Long enough for as many calls to hang as may.
+        let idle_clients = IdleClients::new(sidecar.address, 2 * actual_limit);
+        // Time for the maximum number of calls to hang.
         std::thread::sleep(Duration::from_millis(4_500));
-        let served = (0..20).filter(|_| newcomer(sidecar.address) == Some(200)).count();
-        assert!(served >= 10, "{served} of 20 newcomers were served: {:?}", sidecar.log.lock().unwrap());
-        agent.returns();
-        serves_in_time(&sidecar, &b, Instant::now() + TOLD);
-        agent.fails();
+        let served = (0..20).filter(|_| request_status(sidecar.address) == Some(200)).count();
+        assert!(served >= 10, "{served} of 20 new clients were served: {:?}", sidecar.log.lock().unwrap());
+        discovery.resume();
+        assert_served_by(&sidecar, &b, Instant::now() + MAX_DISCOVERY_DELAY);
+        discovery.interrupt();
         std::thread::sleep(Duration::from_millis(2_000));
-        let next = Agent::down(host_list(7, true, &[host_entry("c", c.address, "ready")]));
-        sidecar.reload(&text(next.address, "null"));
+        let next = InterruptibleDiscovery::start_unresponsive(host_list(
+            7,
+            true,
+            &[host_entry("c", c.address, "ready")],
+        ));
+        sidecar.reload(&config(next.address, "null"));
         std::thread::sleep(Duration::from_millis(2_000));
-        next.returns();
-        serves_in_time(&sidecar, &c, Instant::now() + TOLD);
-        let last = Agent::down(host_list(8, true, &[host_entry("d", d.address, "ready")]));
-        last.returns();
-        sidecar.reload(&text(last.address, "null"));
-        serves_in_time(&sidecar, &d, Instant::now() + TOLD);
-        drop(idlers);
-        assert_in_order(&mut sidecar);
+        next.resume();
+        assert_served_by(&sidecar, &c, Instant::now() + MAX_DISCOVERY_DELAY);
+        let last = InterruptibleDiscovery::start_unresponsive(host_list(
+            8,
+            true,
+            &[host_entry("d", d.address, "ready")],
+        ));
+        last.resume();
+        sidecar.reload(&config(last.address, "null"));
+        assert_served_by(&sidecar, &d, Instant::now() + MAX_DISCOVERY_DELAY);
+        drop(idle_clients);
+        assert_running_without_panic(&mut sidecar);
     }
 }
 
 #[test]
-fn discovery_is_heard_while_idle_clients_hold_what_they_can_of_256() {
-    discovery_is_heard(256, 256);
+fn discovery_recovers_while_idle_clients_exhaust_a_limit_of_256() {
+    assert_discovery_recovers(256, 256);
 }
 
 #[test]
-fn discovery_is_heard_while_idle_clients_hold_what_they_can_of_64() {
-    discovery_is_heard(64, 64);
+fn discovery_recovers_while_idle_clients_exhaust_a_limit_of_64() {
+    assert_discovery_recovers(64, 64);
 }
 
 #[test]
-fn discovery_is_heard_though_the_real_limit_is_lower_than_the_configured_one() {
-    discovery_is_heard(1024, 64);
+fn discovery_recovers_when_the_actual_limit_is_below_the_configured_one() {
+    assert_discovery_recovers(1024, 64);
 }
 
-/// The most descriptors held at once while clients, servers and discovery take all that they can.
-fn most_held(sockets: usize, settings: &str) -> usize {
-    // More servers than there may be connections to them: an idle one to each takes all that there may be.
-    let deed = |message: &Message| {
+/// The highest number of open descriptors while clients, upstreams and discovery use as many as they can.
+fn peak_open_descriptors(limit: usize, settings: &str) -> usize {
+    // More upstreams than the connection limit, so that idle connections to them reach it.
+    let behaviour = |message: &Message| {
         if message.start_line.starts_with("POST") { Behaviour::NoResponse } else { Behaviour::ok("served") }
     };
-    let servers: Vec<Upstream> = (0..sockets / 2).map(|_| Upstream::new(deed)).collect();
+    let upstreams: Vec<Upstream> = (0..limit / 2).map(|_| Upstream::new(behaviour)).collect();
     let entry =
-        |(number, server): (usize, &Upstream)| host_entry(&format!("s{number}"), server.address, "ready");
-    let known = host_list(5, true, &servers.iter().enumerate().map(entry).collect::<Vec<_>>());
-    let agent = Agent::down(String::new());
-    // Without a real limit: more than it may hold must show.
-    let mut sidecar = Sidecar::start(&config_json("127.0.0.1:0", agent.address, &known, sockets, settings));
+        |(index, upstream): (usize, &Upstream)| host_entry(&format!("s{index}"), upstream.address, "ready");
+    let known = host_list(5, true, &upstreams.iter().enumerate().map(entry).collect::<Vec<_>>());
+    let discovery = InterruptibleDiscovery::start_unresponsive(String::new());
+    // The process runs without a limit of its own, so that an excess would show.
+    let mut sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, limit, settings));
     sidecar.wait_until_up();
     let mut client = Client::connect(sidecar.address);
-    let warm = Instant::now();
-    while held(&sidecar) < sockets / 2 && warm.elapsed() < WAIT_TIMEOUT {
+    let start = Instant::now();
+    while open_descriptors(&sidecar) < limit / 2 && start.elapsed() < WAIT_TIMEOUT {
         client.send("fetch", 4_000);
         if client.read().is_none() {
             client = Client::connect(sidecar.address);
@@ -213,7 +234,7 @@
     }
     let address = sidecar.address;
     let stop = Arc::new(AtomicBool::new(false));
-    let busy: Vec<_> = (0..sockets)
+    let busy_clients: Vec<_> = (0..limit)
         .map(|_| {
             let stop = stop.clone();
             std::thread::spawn(move || {
@@ -228,65 +249,65 @@
             })
         })
         .collect();
-    let idlers = Idlers::new(address, sockets);
-    let watch = |span: Duration| {
-        let began = Instant::now();
-        let mut most = 0;
-        while began.elapsed() < span {
-            most = most.max(held(&sidecar));
+    let idle_clients = IdleClients::new(address, limit);
+    let peak_during = |duration: Duration| {
+        let start = Instant::now();
+        let mut peak = 0;
+        while start.elapsed() < duration {
+            peak = peak.max(open_descriptors(&sidecar));
             std::thread::sleep(Duration::from_millis(2));
         }
-        most
+        peak
     };
-    let before = watch(Duration::from_millis(6_000));
-    // A new address, with the calls to the old one hanging.
-    let next = Agent::down(String::new());
-    sidecar.reload(&config_json("127.0.0.1:0", next.address, "null", sockets, settings));
-    let after = watch(Duration::from_millis(1_500));
+    let peak_before_reload = peak_during(Duration::from_millis(6_000));
+    // Discovery moves to a new address while calls to the old one hang.
+    let next = InterruptibleDiscovery::start_unresponsive(String::new());
+    sidecar.reload(&config_json("127.0.0.1:0", next.address, "null", limit, settings));
+    let peak_after_reload = peak_during(Duration::from_millis(1_500));
     stop.store(true, Ordering::SeqCst);
-    drop(idlers);
-    assert_in_order(&mut sidecar);
-    assert!(next.calls.load(Ordering::SeqCst) > 0, "the new address is called");
+    drop(idle_clients);
+    assert_running_without_panic(&mut sidecar);
+    assert!(next.call_count.load(Ordering::SeqCst) > 0, "the new address was not called");
     drop(sidecar);
-    busy.into_iter().for_each(|client| client.join().unwrap());
-    before.max(after)
+    busy_clients.into_iter().for_each(|client| client.join().unwrap());
+    peak_before_reload.max(peak_after_reload)
 }
 
-fn holds_no_more_than(sockets: usize) {
-    for settings in modes() {
-        let most = most_held(sockets, &settings);
-        println!("{most} of {sockets} held");
-        assert!(most <= sockets, "{most} descriptors are held of {sockets}");
-        // Else this has not met the worst moment.
-        assert!(most + 16 >= sockets, "only {most} descriptors were held of {sockets}");
+fn assert_descriptor_limit_is_kept(limit: usize) {
+    for settings in settings_per_membership_mode() {
+        let peak = peak_open_descriptors(limit, &settings);
+        println!("peak of {peak} open descriptors with a limit of {limit}");
+        assert!(peak <= limit, "{peak} descriptors were open with a limit of {limit}");
+        // A lower peak means that the test has not put the limit under pressure.
+        assert!(peak + 16 >= limit, "only {peak} descriptors were open with a limit of {limit}");
     }
 }
 
 #[test]
-fn it_holds_no_more_descriptors_than_256() {
-    holds_no_more_than(256);
+fn open_descriptors_stay_within_a_limit_of_256() {
+    assert_descriptor_limit_is_kept(256);
 }
 
 #[test]
-fn it_holds_no_more_descriptors_than_64() {
-    holds_no_more_than(64);
+fn open_descriptors_stay_within_a_limit_of_64() {
+    assert_descriptor_limit_is_kept(64);
 }
 
 #[test]
-fn no_server_is_blamed_for_a_lack_of_descriptors() {
-    let slow = |_: &Message| {
+fn upstreams_are_not_ejected_when_descriptors_run_out() {
+    let slow_response = |_: &Message| {
         std::thread::sleep(Duration::from_millis(200));
         Behaviour::ok("served")
     };
-    let servers: Vec<Upstream> = (0..6).map(|_| Upstream::new(slow)).collect();
-    let known = ready_hosts(&servers.iter().collect::<Vec<_>>());
+    let upstreams: Vec<Upstream> = (0..6).map(|_| Upstream::new(slow_response)).collect();
+    let known = ready_hosts(&upstreams.iter().collect::<Vec<_>>());
     let discovery = Discovery::new(&known);
-    // Told that there are many, it finds that there are few.
-    let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON);
-    let mut sidecar = Sidecar::start_with_descriptor_limit(&text, Some(64));
+    // The actual limit is far below the configured one.
+    let config = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS_JSON);
+    let mut sidecar = Sidecar::start_with_descriptor_limit(&config, Some(64));
     sidecar.wait_until_up();
     let address = sidecar.address;
-    let idlers = Idlers::new(address, 60);
+    let idle_clients = IdleClients::new(address, 60);
     let clients: Vec<_> = (0..60)
         .map(|_| {
             std::thread::spawn(move || {
@@ -294,7 +315,7 @@
                 (0..5)
                     .filter(|_| {
                         client.send("bill", 6_000);
-                        let status = client.read().map(|answer| answer.status());
+                        let status = client.read().map(|response| response.status());
                         client = Client::connect(address);
                         status == Some(200)
                     })
@@ -303,12 +324,15 @@
         })
         .collect();
     let served: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    drop(idlers);
-    assert_in_order(&mut sidecar);
+    drop(idle_clients);
+    assert_running_without_panic(&mut sidecar);
     let log = sidecar.log.lock().unwrap();
-    // An accept or an attempt was the first to find none.
-    assert!(log.iter().any(|line| line.contains("out of descriptors")), "it lacked none: {log:?}");
-    let blamed = |line: &&String| line.contains("ejected") || line.contains("cannot connect");
-    assert_eq!(log.iter().find(blamed), None);
+    // Either an accept or an attempt has found no free descriptor.
+    assert!(
+        log.iter().any(|line| line.contains("out of descriptors")),
+        "descriptors did not run out: {log:?}"
+    );
+    let blames_upstream = |line: &&String| line.contains("ejected") || line.contains("cannot connect");
+    assert_eq!(log.iter().find(blames_upstream), None);
     assert!(served >= 100, "{served} of 300 were served");
 }
