--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! What the sidecar is told at start: the file named by `ROUTER_CONFIG`, checked before anything runs.
+//! The configuration file named by `ROUTER_CONFIG`, validated before the sidecar uses it.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -14,35 +14,36 @@
 /// The configuration file.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Where the application connects.
+    /// Address that the sidecar listens on for clients.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers, in hexadecimal digits.
+    /// Seed of the random number generator, in hexadecimal digits.
     #[serde(default)]
     pub seed: String,
-    /// What the surroundings allow this process.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The list of upstreams as this sidecar last had it. One that cannot be read is none: discovery has the whole.
-    #[serde(default, deserialize_with = "known")]
+    /// The last known list of upstreams. An invalid one is ignored, as discovery delivers a snapshot.
+    #[serde(default, deserialize_with = "deserialize_known_list")]
     pub known: Option<HostList>,
-    /// The settings that the module and the wire share.
+    /// Settings of the decision module, as the simulator sends them too.
     pub settings: SettingsObject,
 }
 
-/// What a busy connection may hold: its buffer, a body each way, and the same again towards the upstream.
+/// Memory of a connection under load: its buffer and a body in each direction, and the same for the connection to the
+/// upstream.
 const CONNECTION_KIB: usize = 256;
-/// Fewer descriptors than this leave no room for connections on both sides.
+/// Fewer file descriptors leave too few for connections on both sides.
 const MIN_SOCKETS: usize = 64;
 
-/// What the surroundings allow this process.
+/// Resource limits of the process.
 #[derive(Deserialize)]
 pub struct Limits {
-    /// Memory, in MiB.
+    /// Memory in MiB.
     #[serde(default = "default_memory")]
     pub memory_mb: usize,
-    /// File descriptors.
+    /// Number of file descriptors.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
@@ -54,74 +55,75 @@
 }
 
 impl Limits {
-    /// How many connections each side may have without running out of descriptors or memory.
+    /// Maximum number of connections on each side within the descriptors and the memory.
     pub fn connections_per_side(&self) -> usize {
-        let by_memory = self.memory_mb.saturating_mul(1024) / CONNECTION_KIB;
-        (self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).min(by_memory).max(1)
+        let memory_limit = self.memory_mb.saturating_mul(1024) / CONNECTION_KIB;
+        (self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).min(memory_limit).max(1)
     }
 }
 
-/// What the smallest deployments allow.
+/// Memory limit of the smallest deployments, in MiB.
 fn default_memory() -> usize {
     192
 }
 
-/// The same for descriptors.
+/// Descriptor limit of the smallest deployments.
 fn default_sockets() -> usize {
     1024
 }
 
-/// Reads the list as far as it can be read: without it the program serves all the same, later.
-fn known<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<HostList>, D::Error> {
+/// Decodes the known list leniently: without a valid list the sidecar starts and waits for discovery.
+fn deserialize_known_list<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<HostList>, D::Error> {
     let value = serde_json::Value::deserialize(deserializer)?;
     let hosts = match (&value, value.get("hosts").and_then(serde_json::Value::as_array)) {
         (serde_json::Value::Null, _) => return Ok(None),
         (_, Some(hosts)) => hosts.iter().cloned().map(HostEntry::from).collect(),
         (_, None) => {
-            log::line("the known list cannot be read: hosts is missing or no list");
+            log::line("the known list cannot be read: \"hosts\" is missing or not an array");
             return Ok(None);
         }
     };
-    // From version 0 on discovery tells all that there is.
+    // Version 0 makes discovery send a snapshot.
     let seq = value.get("seq").and_then(serde_json::Value::as_u64).unwrap_or_else(|| {
-        log::line("the known list has no version that can be read");
+        log::line("the known list has no valid \"seq\"; using version 0");
         0
     });
     let mut list = HostList { seq, whole: true, hosts };
     if list.has_invalid_entries() {
-        // What stands there is in no change that is told later.
+        // Later deltas need not contain the invalid entries, so a snapshot is required.
         list.seq = 0;
     }
     Ok(Some(list))
 }
 
 impl Config {
-    /// Reads and checks the file that the environment names.
+    /// Reads and validates the file that `ROUTER_CONFIG` names.
     pub fn from_env() -> Result<Config> {
         let path = std::env::var_os("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
-        let shown = path.to_string_lossy().into_owned();
-        let text = std::fs::read(&path).with_context(|| format!("cannot read {shown}"))?;
-        Config::parse(&text).with_context(|| format!("bad configuration in {shown}"))
+        let display_path = path.to_string_lossy().into_owned();
+        let text = std::fs::read(&path).with_context(|| format!("cannot read {display_path}"))?;
+        Config::parse(&text).with_context(|| format!("invalid configuration in {display_path}"))
     }
 
-    /// Reads and checks the text of a configuration.
+    /// Parses and validates the text of a configuration file.
     pub fn parse(text: &[u8]) -> Result<Config> {
         let config: Config = serde_json::from_slice(text)?;
         config.settings.validate().map_err(anyhow::Error::msg)?;
-        let mut seen = HashSet::new();
-        if let Some(double) = config.settings.class_names().find(|name| !seen.insert(*name)) {
-            bail!("two classes are named {double:?}");
+        let mut seen_names = HashSet::new();
+        if let Some(duplicate) = config.settings.class_names().find(|name| !seen_names.insert(*name)) {
+            bail!("duplicate class name {duplicate:?}");
         }
         if config.limits.sockets < MIN_SOCKETS {
-            bail!("limits.sockets is {}; at least {MIN_SOCKETS} are needed", config.limits.sockets);
+            bail!("limits.sockets is {}; at least {MIN_SOCKETS} are required", config.limits.sockets);
         }
         Ok(config)
     }
 
-    /// The seed as a number; one that is not in hexadecimal digits still makes a seed of its own.
+    /// The seed as a number. Text that is not hexadecimal is hashed.
     pub fn seed(&self) -> u64 {
-        u64::from_str_radix(&self.seed, 16)
-            .unwrap_or_else(|_| self.seed.bytes().fold(7, |sum, b| sum.wrapping_mul(31) + u64::from(b)))
+        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
+            self.seed.bytes().fold(7, |hash, byte| hash.wrapping_mul(31) + u64::from(byte))
+        })
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery watch: reads the list of upstreams and its changes, and tells the driver.
+//! The discovery watch: a streaming HTTP call that delivers the list of upstreams and its changes to the driver.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -22,41 +22,45 @@
 use super::driver::DriverEvent;
 use super::log;
 
-/// An empty line comes every 2 s; when neither one nor an object has come whole for this long, the watch is dead.
-/// What it misses counts as told 6 s after it fell silent: that leaves time for one more watch that falls silent
-/// at once, and for calls that hang before and after it.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// A call that the module asks for must be answered in this time.
-const CALL: Duration = Duration::from_millis(2_500);
-/// The first wait after a watch has ended. It doubles while nothing is told, up to the pace.
-const BACK_OFF: Duration = Duration::from_millis(50);
-/// While calls hang another is made beside them at this pace, as what discovery gets when it returns counts at
-/// once: well within the time in which sends must stop. Each wait is drawn from nothing up to the pace (full
-/// jitter): the watches of a whole fleet end in one moment, and must not come back in one.
-const PACE_SHARE: f64 = 0.25;
-/// The pace is no faster, so that trying costs little, and no slower, so that some tries fit into 6 s.
-const PACE: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(500)];
-/// So many calls may hang at a time. The oldest makes room for the next, but no sooner than a call may take: a
-/// discovery that is slower than a few of these waits must be heard as well.
-const HANGING: usize = 8;
-/// A whole list with an entry that cannot be read is fetched again after this long, as it may stay so.
-const FETCH_AGAIN: Duration = Duration::from_millis(2_000);
-/// The longest object: thousands of hosts. One that never ends must not fill the memory.
-const OBJECT_BYTES: usize = 2 << 20;
-
-/// A list, or what changed in it, in discovery's form.
+/// A watch that delivers neither a complete object nor an empty line for this long is dead: discovery sends an empty
+/// line every 2 s. Changes must be in force within 6 s; that leaves time for a second watch that goes idle at once and
+/// for unanswered calls before and after it.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time in which a call that the decision module requests must be answered.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest wait after a watch that delivered updates. It doubles, up to the backoff cap, for each further watch that
+/// delivers none.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Backoff cap as a fraction of the drain grace: once discovery is reachable again, a drain that it announces must be
+/// known well before the grace ends.
+const BACKOFF_CAP_PER_DRAIN_GRACE: f64 = 0.25;
+/// Lower bound of the backoff cap; limits the cost of retries.
+const MIN_BACKOFF_CAP: Duration = Duration::from_millis(50);
+/// Upper bound of the backoff cap; leaves time for several calls within 6 s.
+const MAX_BACKOFF_CAP: Duration = Duration::from_millis(500);
+/// Maximum number of concurrent calls that have not been answered. One more cancels the oldest, or the second oldest
+/// while the oldest is within its call timeout, so that a discovery that answers more slowly than calls are made is
+/// still heard.
+const MAX_PENDING_CALLS: usize = 8;
+/// Delay before a snapshot with invalid entries is requested again.
+const INVALID_ENTRY_REFETCH_DELAY: Duration = Duration::from_millis(2_000);
+/// Maximum size of a JSON object in the stream, enough for thousands of hosts. Bounds the memory that an unterminated
+/// object takes.
+const MAX_OBJECT_BYTES: usize = 2 << 20;
+
+/// A snapshot or delta of the list of upstreams, in discovery's JSON format.
 #[derive(Deserialize)]
 pub struct HostList {
-    /// Its version.
+    /// Version of the list.
     pub seq: u64,
-    /// Whether it is complete.
+    /// Whether this is a snapshot; otherwise it is a delta.
     #[serde(default)]
     pub whole: bool,
-    /// Its entries.
+    /// Entries of the snapshot, or the changed ones of a delta.
     pub hosts: Vec<HostEntry>,
 }
 
-/// An entry of a host list. Each is decoded by itself, so that an invalid one does not affect the others.
+/// An entry of a host list, decoded separately so that an invalid one does not affect the others.
 #[derive(Deserialize)]
 #[serde(from = "serde_json::Value")]
 pub enum HostEntry {
@@ -64,16 +68,16 @@
     Decoded(Host),
     /// An entry that cannot be decoded.
     Invalid {
-        /// Its host, as far as that can be read.
+        /// Name of the host, if it could be decoded.
         host: Option<String>,
-        /// Why.
+        /// Why decoding failed.
         error: String,
     },
 }
 
 impl From<serde_json::Value> for HostEntry {
     fn from(entry: serde_json::Value) -> HostEntry {
-        match read(&entry) {
+        match decode_host(&entry) {
             Ok(host) => HostEntry::Decoded(host),
             Err(error) => {
                 let host = entry.get("host").and_then(serde_json::Value::as_str).map(str::to_owned);
@@ -83,50 +87,50 @@
     }
 }
 
-/// An upstream as discovery tells it.
+/// An upstream as listed by discovery.
 #[derive(Deserialize, Clone)]
 pub struct Host {
-    /// Its name, the same at every sidecar.
+    /// Name of the upstream, the same at every sidecar.
     pub host: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Zone of the upstream.
     #[serde(default)]
     pub site: String,
-    /// Its kind of machine.
+    /// Machine type.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
+    /// Cell of the upstream.
     #[serde(default)]
     pub block: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub health: Health,
-    /// Its size compared with others.
-    #[serde(default = "one")]
+    /// Capacity relative to other upstreams.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of its last start, in Unix milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// Completes the requests that it has and accepts no new ones.
     Draining,
-    /// It is no more.
+    /// Removed from the list.
     Gone,
 }
 
 impl HostList {
-    /// The valid entries; the others are logged.
+    /// The hosts of the valid entries; logs the invalid ones.
     pub fn valid_hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter_map(|entry| match entry {
             HostEntry::Decoded(host) => Some(host),
@@ -142,7 +146,7 @@
         self.hosts.iter().any(|entry| matches!(entry, HostEntry::Invalid { .. }))
     }
 
-    /// The names of the hosts whose entries are invalid, as far as they can be read.
+    /// The host names of the invalid entries, where they could be decoded.
     pub fn invalid_host_names(&self) -> impl Iterator<Item = &str> {
         self.hosts.iter().filter_map(|entry| match entry {
             HostEntry::Invalid { host, .. } => host.as_deref(),
@@ -151,55 +155,56 @@
     }
 }
 
-/// Reads one entry.
-fn read(entry: &serde_json::Value) -> Result<Host> {
+/// Decodes and checks one entry.
+fn decode_host(entry: &serde_json::Value) -> Result<Host> {
     let host = Host::deserialize(entry)?;
     if !host.share.is_finite() || !host.born_ms.is_finite() {
-        bail!("absurd figures for {}", host.host);
+        bail!("share or born_ms of {} is not a finite number", host.host);
     }
     Ok(host)
 }
 
-/// Cuts a stream into the JSON objects in it, however it is chunked and wherever its lines end.
+/// Splits a byte stream into JSON objects, regardless of chunk and line boundaries.
 #[derive(Default)]
-struct Objects {
-    /// What has come of the object that has begun.
-    begun: BytesMut,
+struct JsonFramer {
+    /// Bytes received so far of an incomplete object.
+    partial_object: BytesMut,
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// Whether a line has ended outside of any object since this was last asked.
+    /// Whether a line has ended outside any object since the caller last reset this.
     line_ended: bool,
 }
 
-impl Objects {
-    /// Takes in a chunk, up to the end of the first object in it; that object if it ends, and how much was taken.
+impl JsonFramer {
+    /// Consumes a chunk up to the end of the first object in it. Returns that object, if it is complete, and the number
+    /// of bytes consumed.
     fn push(&mut self, chunk: &[u8]) -> Result<(Option<BytesMut>, usize)> {
-        for (at, byte) in chunk.iter().enumerate() {
+        for (index, byte) in chunk.iter().enumerate() {
             if self.depth == 0 {
                 match byte {
                     b'{' => {}
                     b'\n' => self.line_ended = true,
                     _ if byte.is_ascii_whitespace() => {}
-                    _ => bail!("what it says is no object"),
+                    _ => bail!("unexpected data outside a JSON object"),
                 }
             }
-            self.step(*byte);
+            self.track_nesting(*byte);
             if self.depth > 0 || *byte == b'}' {
-                self.begun.put_u8(*byte);
+                self.partial_object.put_u8(*byte);
             }
-            if self.begun.len() > OBJECT_BYTES {
-                bail!("an object is longer than {OBJECT_BYTES} bytes");
+            if self.partial_object.len() > MAX_OBJECT_BYTES {
+                bail!("a JSON object is longer than {MAX_OBJECT_BYTES} bytes");
             }
-            if self.depth == 0 && !self.begun.is_empty() {
-                return Ok((Some(self.begun.split()), at + 1));
+            if self.depth == 0 && !self.partial_object.is_empty() {
+                return Ok((Some(self.partial_object.split()), index + 1));
             }
         }
         Ok((None, chunk.len()))
     }
 
-    /// Follows braces, but for those in strings.
-    fn step(&mut self, byte: u8) {
+    /// Counts braces outside strings.
+    fn track_nesting(&mut self, byte: u8) {
         match (self.in_string, byte) {
             (true, _) if self.escaped => self.escaped = false,
             (true, b'\\') => self.escaped = true,
@@ -210,87 +215,95 @@
         }
     }
 
-    /// Whether an object has begun and not ended.
-    fn inside(&self) -> bool {
+    /// Whether an object is incomplete.
+    fn in_object(&self) -> bool {
         self.depth > 0
     }
 }
 
-/// Where watches start from and what they tell.
+/// Parameters and state of the watch.
 pub struct Watch {
-    /// Discovery's address.
+    /// Address of discovery.
     pub address: SocketAddr,
     /// Identifies the watch: events of an earlier one that are still queued are ignored.
     pub id: u64,
-    /// The version that the sidecar has.
+    /// Version of the list that the sidecar has; 0 requests a snapshot.
     pub seq: u64,
     /// Events for the driver.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// How long sends may go on to a server once it is told that it drains.
+    /// How long requests may still be sent to a server after it has been listed as draining.
     pub drain_grace: Duration,
-    /// Spreads its calls.
+    /// Random numbers for the jitter of retries.
     pub rng: Rand64,
-    /// Calls take theirs from there.
+    /// Limits the file descriptors that calls take.
     pub descriptors: Arc<Descriptors>,
 }
 
-/// A watch that is open; it is closed when this is dropped.
-struct Opened {
+/// An open watch; dropping it closes the connection.
+struct OpenWatch {
     body: Incoming,
     _connection: AbortOnDrop,
 }
 
-/// How a watch ended.
-enum End {
-    /// It broke without a sign.
-    Silent,
-    /// In any other way.
+/// Why a watch ended.
+enum WatchEnd {
+    /// Neither a complete object nor an empty line arrived within [`WATCH_IDLE_TIMEOUT`].
+    IdleTimeout,
+    /// Any other reason.
     Other(anyhow::Error),
 }
 
-impl<E: Into<anyhow::Error>> From<E> for End {
-    fn from(error: E) -> End {
-        End::Other(error.into())
+impl<E: Into<anyhow::Error>> From<E> for WatchEnd {
+    fn from(error: E) -> WatchEnd {
+        WatchEnd::Other(error.into())
     }
 }
 
-impl std::fmt::Display for End {
+impl std::fmt::Display for WatchEnd {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            End::Silent => write!(f, "the watch fell silent"),
-            End::Other(error) => write!(f, "{error:#}"),
+            WatchEnd::IdleTimeout => write!(f, "no data on the watch for {WATCH_IDLE_TIMEOUT:?}"),
+            WatchEnd::Other(error) => write!(f, "{error:#}"),
         }
     }
 }
 
 impl Watch {
-    /// Watches until it is aborted, for settings under which updates are pushed.
+    /// Watches and reconnects until the task is aborted, for settings under which discovery pushes updates.
     pub async fn run_forever(mut self) {
-        let mut wait = BACK_OFF;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
-            let before = self.seq;
-            let opened = self.open().await;
-            let Err(end) = self.follow(opened).await;
-            log::line(format!("discovery: {end}; watching again"));
-            // A watch that told something was in order; others back off, so as not to storm a discovery in need.
-            // One that fell silent has taken its time already.
-            let silent = matches!(end, End::Silent);
-            wait = if self.seq == before && !silent { (wait * 2).min(self.pace()) } else { BACK_OFF };
-            sleep(self.jittered(wait)).await;
+            let seq_before = self.seq;
+            let watch = self.connect_with_retries().await;
+            let Err(end) = self.forward_updates(watch).await;
+            log::line(format!("discovery: {end}; reconnecting"));
+            // Backs off from a discovery that fails before it delivers an update. An idle timeout needs no further
+            // backoff.
+            let idle_timeout = matches!(end, WatchEnd::IdleTimeout);
+            backoff = if self.seq == seq_before && !idle_timeout {
+                (backoff * 2).min(self.backoff_cap())
+            } else {
+                INITIAL_BACKOFF
+            };
+            sleep(self.jittered(backoff)).await;
         }
     }
 
-    /// Watches once, for settings under which the module asks; the driver is told when the watch ends.
-    /// A watch that falls silent is opened again. With `moved`, as after discovery has moved, calls are repeated
-    /// until one is answered.
-    pub async fn run_once(mut self, moved: bool) {
-        let mut opened = if moved { Ok(self.open().await) } else { self.call_in_time().await };
+    /// Watches once, for settings under which the decision module requests watches, and sends the driver
+    /// [`DriverEvent::DiscoveryFailed`] at the end. Reconnects by itself only after an idle timeout. With
+    /// `retry_until_answered`, as after the address of discovery has changed, the first call is retried as well.
+    pub async fn run_once(mut self, retry_until_answered: bool) {
+        let mut opened = if retry_until_answered {
+            Ok(self.connect_with_retries().await)
+        } else {
+            self.connect_with_timeout().await
+        };
         let end = loop {
             match opened {
-                Ok(open) => match self.follow(open).await {
-                    Err(End::Silent) => {
-                        log::line(format!("discovery: {}; watching again", End::Silent));
-                        opened = Ok(self.open().await);
+                Ok(watch) => match self.forward_updates(watch).await {
+                    Err(WatchEnd::IdleTimeout) => {
+                        log::line(format!("discovery: {}; reconnecting", WatchEnd::IdleTimeout));
+                        opened = Ok(self.connect_with_retries().await);
                     }
                     Err(end) => break end,
                 },
@@ -301,127 +314,133 @@
         let _ = self.events.send(DriverEvent::DiscoveryFailed { watch_id: self.id, seq: self.seq });
     }
 
-    /// How often discovery is tried at least while it does not answer.
-    fn pace(&self) -> Duration {
-        self.drain_grace.mul_f64(PACE_SHARE).clamp(PACE[0], PACE[1])
+    /// The longest wait between two calls while discovery does not answer.
+    fn backoff_cap(&self) -> Duration {
+        self.drain_grace.mul_f64(BACKOFF_CAP_PER_DRAIN_GRACE).clamp(MIN_BACKOFF_CAP, MAX_BACKOFF_CAP)
     }
 
-    /// A wait drawn from nothing up to this one.
+    /// Full jitter: a random wait between zero and `longest`, so that sidecars that lose discovery at the same time do
+    /// not reconnect at the same time.
     fn jittered(&mut self, longest: Duration) -> Duration {
         longest.mul_f64(self.rng.rand_float())
     }
 
-    /// Opens a watch, whatever it takes.
-    async fn open(&mut self) -> Opened {
+    /// Opens a watch with concurrent calls: starts another one after each jittered wait until one is answered.
+    async fn connect_with_retries(&mut self) -> OpenWatch {
         let mut calls = JoinSet::new();
-        let mut hanging = VecDeque::new();
-        let mut logged = false;
+        let mut pending = VecDeque::new();
+        let mut error_logged = false;
         loop {
-            let this = call(self.address, self.seq, self.descriptors.clone());
-            hanging.push_back((Instant::now(), calls.spawn(this)));
-            if hanging.len() > HANGING {
-                let young = hanging.front().is_some_and(|(since, _)| since.elapsed() < CALL);
-                if let Some((_, given_up)) = hanging.remove(usize::from(young)) {
-                    given_up.abort();
+            let call = request_watch(self.address, self.seq, self.descriptors.clone());
+            pending.push_back((Instant::now(), calls.spawn(call)));
+            if pending.len() > MAX_PENDING_CALLS {
+                let oldest_within_timeout =
+                    pending.front().is_some_and(|(started, _)| started.elapsed() < CALL_TIMEOUT);
+                if let Some((_, call)) = pending.remove(usize::from(oldest_within_timeout)) {
+                    call.abort();
                 }
             }
-            let longest = self.pace();
-            let next = sleep(self.jittered(longest));
-            tokio::pin!(next);
+            let longest = self.backoff_cap();
+            let next_call = sleep(self.jittered(longest));
+            tokio::pin!(next_call);
             loop {
                 tokio::select! {
-                    Some(called) = calls.join_next() => match called {
-                        Ok(Ok(opened)) => return opened,
-                        Ok(Err(error)) if !std::mem::replace(&mut logged, true) => {
-                            log::line(format!("discovery: {error:#}; calling again"));
+                    Some(finished) = calls.join_next() => match finished {
+                        Ok(Ok(watch)) => return watch,
+                        Ok(Err(error)) if !std::mem::replace(&mut error_logged, true) => {
+                            log::line(format!("discovery: {error:#}; retrying"));
                         }
                         Ok(Err(_)) | Err(_) => {}
                     },
-                    () = &mut next => break,
+                    () = &mut next_call => break,
                 }
             }
         }
     }
 
-    async fn call_in_time(&self) -> Result<Opened, End> {
-        Ok(timeout(CALL, call(self.address, self.seq, self.descriptors.clone()))
+    async fn connect_with_timeout(&self) -> Result<OpenWatch, WatchEnd> {
+        Ok(timeout(CALL_TIMEOUT, request_watch(self.address, self.seq, self.descriptors.clone()))
             .await
-            .context("no answer in time")??)
+            .context("the call timed out")??)
     }
 
-    /// Tells what a watch says until it ends.
-    async fn follow(&mut self, mut opened: Opened) -> Result<std::convert::Infallible, End> {
-        let mut objects = Objects::default();
-        let mut by = Instant::now() + SILENCE;
-        let mut fetch_by: Option<Instant> = None;
+    /// Forwards updates to the driver until the watch ends.
+    async fn forward_updates(&mut self, mut watch: OpenWatch) -> Result<std::convert::Infallible, WatchEnd> {
+        let mut framer = JsonFramer::default();
+        let mut idle_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
+        let mut refetch_deadline: Option<Instant> = None;
         loop {
-            let until = fetch_by.map_or(by, |fetch_by| fetch_by.min(by));
-            let frame = timeout_at(until, opened.body.frame()).await;
-            let broken = match frame {
-                Err(_) if until < by => Err(anyhow!("something was missed").into()),
-                Err(_) => Err(End::Silent),
-                Ok(None) => Err(anyhow!("the watch ended").into()),
+            let deadline = refetch_deadline
+                .map_or(idle_deadline, |refetch_deadline| refetch_deadline.min(idle_deadline));
+            let frame = timeout_at(deadline, watch.body.frame()).await;
+            let received = match frame {
+                Err(_) if deadline < idle_deadline => {
+                    Err(anyhow!("requesting a snapshot because of invalid entries").into())
+                }
+                Err(_) => Err(WatchEnd::IdleTimeout),
+                Ok(None) => Err(anyhow!("discovery closed the watch").into()),
                 Ok(Some(Err(error))) => Err(error.into()),
                 Ok(Some(Ok(frame))) => Ok(frame),
             };
-            let frame = match broken {
+            let frame = match received {
                 Ok(frame) => frame,
                 Err(end) => {
-                    // What was missed is in no change that is told later: only the whole list can make up for it.
-                    if objects.inside() || fetch_by.is_some() {
+                    // Later deltas do not repeat an update that was lost or invalid: resynchronise from version 0.
+                    if framer.in_object() || refetch_deadline.is_some() {
                         self.seq = 0;
                     }
                     return Err(end);
                 }
             };
             let Ok(chunk) = frame.into_data() else { continue };
-            let was_inside = objects.inside();
-            let mut told = false;
+            let was_in_object = framer.in_object();
+            let mut object_completed = false;
             let mut rest = &chunk[..];
             while !rest.is_empty() {
-                let pushed = objects.push(rest).and_then(|(object, taken)| {
-                    rest = &rest[taken..];
-                    let again = object.map(|object| self.tell(&object)).transpose()?;
-                    told |= again.is_some();
-                    Ok(again.flatten())
+                let forwarded = framer.push(rest).and_then(|(object, consumed)| {
+                    rest = &rest[consumed..];
+                    let refetch_at = object.map(|object| self.forward_object(&object)).transpose()?;
+                    object_completed |= refetch_at.is_some();
+                    Ok(refetch_at.flatten())
                 });
-                match pushed {
-                    Ok(again) => fetch_by = again.or(fetch_by),
+                match forwarded {
+                    Ok(refetch_at) => refetch_deadline = refetch_at.or(refetch_deadline),
                     Err(error) => {
                         self.seq = 0;
                         return Err(error.into());
                     }
                 }
             }
-            // Part of an object is no sign of life, nor is space in no line: they may go on for ever.
-            let line_ended = std::mem::take(&mut objects.line_ended) && !objects.inside();
-            let begun = objects.inside() && !was_inside;
-            if told || begun || line_ended {
-                by = Instant::now() + SILENCE;
+            // Parts of an object and spaces do not extend the deadline: they could go on without end.
+            let line_ended = std::mem::take(&mut framer.line_ended) && !framer.in_object();
+            let object_started = framer.in_object() && !was_in_object;
+            if object_completed || object_started || line_ended {
+                idle_deadline = Instant::now() + WATCH_IDLE_TIMEOUT;
             }
         }
     }
 
-    /// Tells the driver. When something in it could not be read, by when it is to be fetched again.
-    fn tell(&mut self, object: &[u8]) -> Result<Option<Instant>> {
+    /// Decodes an object and forwards it to the driver. If entries are invalid, returns when to request a snapshot.
+    fn forward_object(&mut self, object: &[u8]) -> Result<Option<Instant>> {
         let list: HostList = serde_json::from_slice(object).context("an object cannot be read")?;
         if !list.whole && list.seq < self.seq {
-            bail!("version {} came after {}", list.seq, self.seq);
+            bail!("received a delta of version {} after version {}", list.seq, self.seq);
         }
         self.seq = list.seq;
-        let (whole, unread) = (list.whole, list.has_invalid_entries());
+        let (is_snapshot, has_invalid_entries) = (list.whole, list.has_invalid_entries());
         let event = DriverEvent::HostListReceived { watch_id: self.id, list };
-        self.events.send(event).ok().context("the driver has ended")?;
-        match (unread, whole) {
+        self.events.send(event).ok().context("the driver has stopped")?;
+        match (has_invalid_entries, is_snapshot) {
             (false, _) => Ok(None),
-            (true, true) => Ok(Some(Instant::now() + FETCH_AGAIN)),
+            // The next snapshot may have the same invalid entries.
+            (true, true) => Ok(Some(Instant::now() + INVALID_ENTRY_REFETCH_DELAY)),
             (true, false) => Ok(Some(Instant::now())),
         }
     }
 }
 
-/// Asks for a watch from a version on.
-async fn call(address: SocketAddr, seq: u64, descriptors: Arc<Descriptors>) -> Result<Opened> {
+/// Requests a watch that starts after a version.
+async fn request_watch(address: SocketAddr, seq: u64, descriptors: Arc<Descriptors>) -> Result<OpenWatch> {
     let stream = descriptors.connect(address, &mut false).await.context("cannot connect")?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = AbortOnDrop(tokio::spawn(async move {
@@ -432,12 +451,12 @@
         .body(Empty::<Bytes>::new())?;
     let response = sender.send_request(request).await?;
     if response.status() != StatusCode::OK {
-        bail!("answered {}", response.status());
+        bail!("unexpected response status {}", response.status());
     }
-    Ok(Opened { body: response.into_body(), _connection: connection })
+    Ok(OpenWatch { body: response.into_body(), _connection: connection })
 }
 
-/// A task that ends with its owner.
+/// A task that is aborted when this is dropped.
 pub struct AbortOnDrop(pub JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/tests/unit/net_config.rs
+++ b/tests/unit/net_config.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/net/config.rs`, whose module takes this file in.
+//! Tests of `src/net/config.rs`, included there as its unit tests.
 
 use super::*;
 
@@ -8,17 +8,17 @@
     "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}}"#;
 
 #[test]
-fn a_minimal_configuration_is_enough() {
-    let config = Config::parse(MINIMAL.as_bytes()).expect("it holds all that is needed");
+fn minimal_configuration_is_valid() {
+    let config = Config::parse(MINIMAL.as_bytes()).expect("the minimal configuration is valid");
     assert_eq!(config.limits.connections_per_side(), 500);
-    let scarce = Limits { memory_mb: 16, ..config.limits };
-    assert_eq!(scarce.connections_per_side(), 64, "memory binds before sockets");
+    let low_memory = Limits { memory_mb: 16, ..config.limits };
+    assert_eq!(low_memory.connections_per_side(), 64, "memory is the tighter limit");
     assert!(config.known.is_none());
 }
 
 #[test]
-fn nonsense_is_told_from_a_configuration() {
-    for (from, to) in [
+fn invalid_values_are_rejected() {
+    for (valid, invalid) in [
         (r#""aim":250.0"#, r#""aim":-1"#),
         (r#""name":"a""#, r#""name":"""#),
         (r#""max_attempts":3"#, r#""max_attempts":0"#),
@@ -26,7 +26,7 @@
         (r#""cold_share":0.1"#, r#""cold_share":0"#),
         (r#""classes":["#, r#""klasses":["#),
     ] {
-        assert!(MINIMAL.contains(from), "{from}");
-        assert!(Config::parse(MINIMAL.replace(from, to).as_bytes()).is_err(), "{to}");
+        assert!(MINIMAL.contains(valid), "{valid}");
+        assert!(Config::parse(MINIMAL.replace(valid, invalid).as_bytes()).is_err(), "{invalid}");
     }
 }
--- a/tests/unit/net_discovery.rs
+++ b/tests/unit/net_discovery.rs
@@ -1,44 +1,45 @@
-//! Tests of `src/net/discovery.rs`, whose module takes this file in.
+//! Tests of `src/net/discovery.rs`, included there as its unit tests.
 
 use super::*;
 
-fn objects(text: &[u8], size: usize) -> Result<(Vec<BytesMut>, Objects)> {
-    let mut objects = Objects::default();
-    let mut found = Vec::new();
-    for chunk in text.chunks(size) {
+/// Feeds `text` to a framer in chunks; returns the complete objects and the framer.
+fn split_objects(text: &[u8], chunk_size: usize) -> Result<(Vec<BytesMut>, JsonFramer)> {
+    let mut framer = JsonFramer::default();
+    let mut objects = Vec::new();
+    for chunk in text.chunks(chunk_size) {
         let mut rest = chunk;
         while !rest.is_empty() {
-            let (object, taken) = objects.push(rest)?;
-            found.extend(object);
-            rest = &rest[taken..];
+            let (object, consumed) = framer.push(rest)?;
+            objects.extend(object);
+            rest = &rest[consumed..];
         }
     }
-    Ok((found, objects))
+    Ok((objects, framer))
 }
 
 #[test]
-fn objects_are_found_however_they_are_chunked_and_indented() {
-    let whole = [&b"{\"a\":1}"[..], b"{\n  \"b\": {\n \"c\": \"}\\\"{\"\n }\n}", b"{}"];
-    let text = [whole[0], b"\n\n", whole[1], b" ", whole[2], b"\r\n{\"d\""].concat();
+fn framer_splits_objects_at_any_chunk_size() {
+    let complete = [&b"{\"a\":1}"[..], b"{\n  \"b\": {\n \"c\": \"}\\\"{\"\n }\n}", b"{}"];
+    let text = [complete[0], b"\n\n", complete[1], b" ", complete[2], b"\r\n{\"d\""].concat();
     for size in 1..text.len() {
-        let (found, objects) = objects(&text, size).unwrap();
-        assert_eq!(found, whole, "chunks of {size}");
-        assert!(objects.inside() && objects.line_ended);
+        let (objects, framer) = split_objects(&text, size).unwrap();
+        assert_eq!(objects, complete, "chunks of {size} bytes");
+        assert!(framer.in_object() && framer.line_ended);
     }
-    assert!(objects(b"{}\nnonsense\n", 4).is_err());
-    assert!(objects(b"}{", 4).is_err());
+    assert!(split_objects(b"{}\nnonsense\n", 4).is_err());
+    assert!(split_objects(b"}{", 4).is_err());
 }
 
 #[test]
-fn an_endless_object_ends_the_watch() {
-    let mut objects = Objects::default();
-    let chunk = [b"{\"".to_vec(), vec![b'x'; OBJECT_BYTES / 2]].concat();
-    assert!(objects.push(&chunk).unwrap().0.is_none());
-    assert!(objects.push(&chunk).is_err());
+fn framer_rejects_oversized_objects() {
+    let mut framer = JsonFramer::default();
+    let chunk = [b"{\"".to_vec(), vec![b'x'; MAX_OBJECT_BYTES / 2]].concat();
+    assert!(framer.push(&chunk).unwrap().0.is_none());
+    assert!(framer.push(&chunk).is_err());
 }
 
 #[test]
-fn a_broken_entry_leaves_the_others() {
+fn invalid_entries_do_not_affect_valid_ones() {
     let list: HostList = serde_json::from_str(
         r#"{"seq":4,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"ready"},
         {"host":"b","dial":"nowhere","health":"ready"},{"host":"c","dial":"127.0.0.1:1","health":"odd"}, 7]}"#,
