--- a/src/bin/sagemast-simhost/main.rs
+++ b/src/bin/sagemast-simhost/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many isolated instances of the module on the simulator's wire. Decides nothing.
+//! Adapter between the simulator and the decision module: runs one isolated [`Balancer`] per simulated sidecar and
+//! exchanges events and actions with the simulator as JSON lines on standard input and output.
 
 mod wire;
 
@@ -11,28 +12,28 @@
 use sagemast::settings::{ReportColumn, report_from_values};
 use wire::*;
 
-/// One sidecar's module, and how its load reports are laid out.
+/// The decision module of one sidecar, and the column order of its load reports.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<ReportColumn>,
+    report_columns: Vec<ReportColumn>,
 }
 
-/// All instances of this process, and the numbered lists that their news refers to.
+/// All instances, and the upstream lists that sync events refer to by number.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<String, Instance>,
-    lists: BTreeMap<u64, Vec<Row>>,
+    upstream_lists: BTreeMap<u64, Vec<UpstreamRow>>,
 }
 
-impl Host {
-    /// Handles one line and gives the reply.
-    fn batch(&mut self, line: &str) -> Result<Reply, String> {
+impl Adapter {
+    /// Handles one line of input and returns the reply.
+    fn handle_batch(&mut self, line: &str) -> Result<Reply, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|error| error.to_string())?;
         let mut reply = Reply { turn: batch.turn, parts: Vec::new() };
         for part in batch.parts {
             let mut actions = Vec::new();
-            for event in part.inbox {
-                self.event(batch.wall, &part.sidecar, event, &mut actions)?;
+            for event in part.events {
+                self.handle_event(batch.now, &part.sidecar, event, &mut actions)?;
             }
             if !actions.is_empty() {
                 let actions = actions.into_iter().map(WireAction::from).collect();
@@ -42,108 +43,117 @@
         Ok(reply)
     }
 
-    fn event(
+    /// Handles one event of a sidecar and appends the resulting actions.
+    fn handle_event(
         &mut self,
         now: f64,
-        name: &str,
+        sidecar: &str,
         event: WireEvent,
         actions: &mut Vec<Action>,
     ) -> Result<(), String> {
         match event {
-            WireEvent::Hello { salt, config } => {
-                let balancer = Balancer::new(config.to_settings(), salt);
-                let instance = Instance { balancer, columns: config.columns() };
-                self.instances.insert(name.to_owned(), instance);
+            WireEvent::Start { seed, config } => {
+                let balancer = Balancer::new(config.to_settings(), seed);
+                let instance = Instance { balancer, report_columns: config.columns() };
+                self.instances.insert(sidecar.to_owned(), instance);
                 return Ok(());
             }
-            WireEvent::DefineList { list, rows_in } => {
-                self.lists.insert(list, rows_in);
+            WireEvent::DefineList { list_number, rows } => {
+                self.upstream_lists.insert(list_number, rows);
                 return Ok(());
             }
             WireEvent::Killed => {
-                // What a killed instance asked for earlier in this batch dies with it.
+                // Actions that the killed instance returned earlier in this batch must not take effect.
                 actions.clear();
-                self.instances.remove(name);
+                self.instances.remove(sidecar);
                 return Ok(());
             }
             _ => {}
         }
         let instance = self
             .instances
-            .get_mut(name)
-            .ok_or_else(|| format!("an event for {name}, which has not started"))?;
-        if let Some(event) = translate(event, &instance.columns, &self.lists)? {
+            .get_mut(sidecar)
+            .ok_or_else(|| format!("received an event for {sidecar}, which is not running"))?;
+        if let Some(event) = to_module_event(event, &instance.report_columns, &self.upstream_lists)? {
             instance.balancer.handle(now, event, actions);
         }
         Ok(())
     }
 }
 
-/// Turns a wire event into the module's; `None` for what it has no use for.
-fn translate(
+/// Converts a wire event into an event of the decision module; `None` for events that it does not use.
+fn to_module_event(
     event: WireEvent,
-    columns: &[ReportColumn],
-    lists: &BTreeMap<u64, Vec<Row>>,
+    report_columns: &[ReportColumn],
+    upstream_lists: &BTreeMap<u64, Vec<UpstreamRow>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match event {
-        WireEvent::Sync { mode, list } => {
-            let rows = || -> Result<Vec<UpstreamRecord>, String> {
-                let number = list.ok_or("a list without its number")?;
-                let rows = lists.get(&number).ok_or_else(|| format!("list {number} is not defined"))?;
+        WireEvent::Sync { mode, list_number } => {
+            let upstreams = || -> Result<Vec<UpstreamRecord>, String> {
+                let list_number = list_number.ok_or("sync event without a list number")?;
+                let rows = upstream_lists
+                    .get(&list_number)
+                    .ok_or_else(|| format!("list {list_number} is not defined"))?;
                 Ok(rows.iter().map(UpstreamRecord::from).collect())
             };
             Event::DiscoveryUpdated(match mode {
-                SyncMode::Update => DiscoveryUpdate::Delta(rows()?),
-                SyncMode::Replace => DiscoveryUpdate::Snapshot(rows()?),
-                SyncMode::Restored => DiscoveryUpdate::Restored(rows()?),
+                SyncMode::Delta => DiscoveryUpdate::Delta(upstreams()?),
+                SyncMode::Snapshot => DiscoveryUpdate::Snapshot(upstreams()?),
+                SyncMode::Restored => DiscoveryUpdate::Restored(upstreams()?),
                 SyncMode::Unavailable => DiscoveryUpdate::Unavailable,
             })
         }
-        WireEvent::Arrival { xid, owner, time_left, category, state_bits, cost_guess } => {
+        WireEvent::RequestArrived { request, tenant, time_left, class, flags, cost } => {
             Event::RequestArrived {
-                request: RequestId(xid.0),
-                class: ClassId(category),
-                tenant: TenantId(owner),
+                request: RequestId(request.0),
+                class: ClassId(class),
+                tenant: TenantId(tenant),
                 time_left,
-                // Bit 1: the hint is valid.
-                cost: cost_guess.filter(|_| state_bits & 1 != 0),
+                cost: cost.filter(|_| flags & FLAG_COST_VALID != 0),
             }
         }
-        WireEvent::Pong { upstream, disposition, server_stats } => Event::ProbeFinished {
+        WireEvent::ProbeFinished { upstream, outcome, report } => Event::ProbeFinished {
             upstream: UpstreamId(upstream),
-            answered: Outcome::from(disposition) == Outcome::Ok,
-            report: server_stats.map(|stats| report_from_values(columns, &stats)),
+            answered: Outcome::from(outcome) == Outcome::Ok,
+            report: report.map(|values| report_from_values(report_columns, &values)),
         },
-        WireEvent::Ring { token } => Event::TimerFired(token),
-        WireEvent::Lapsed { xid } => Event::RequestAbandoned(RequestId(xid.0)),
-        WireEvent::Returned { xid, ended, upstream, shot, latency, disposition, server_stats } => {
-            Event::AttemptFinished(AttemptFinished {
-                request: RequestId(xid.0),
-                attempt: AttemptNo(shot),
-                upstream: UpstreamId(upstream),
-                outcome: disposition.into(),
-                latency,
-                request_completed: ended,
-                report: server_stats.map(|stats| report_from_values(columns, &stats)),
-            })
-        }
-        WireEvent::Heard {} | WireEvent::UnderWay {} => return Ok(None),
-        WireEvent::Hello { .. } | WireEvent::DefineList { .. } | WireEvent::Killed => return Ok(None),
+        WireEvent::TimerFired { token } => Event::TimerFired(token),
+        WireEvent::RequestAbandoned { request } => Event::RequestAbandoned(RequestId(request.0)),
+        WireEvent::AttemptFinished {
+            request,
+            request_completed,
+            upstream,
+            attempt,
+            latency,
+            outcome,
+            report,
+        } => Event::AttemptFinished(AttemptFinished {
+            request: RequestId(request.0),
+            attempt: AttemptNo(attempt),
+            upstream: UpstreamId(upstream),
+            outcome: outcome.into(),
+            latency,
+            request_completed,
+            report: report.map(|values| report_from_values(report_columns, &values)),
+        }),
+        WireEvent::PeerMessage {} | WireEvent::AttemptStarted {} => return Ok(None),
+        WireEvent::Start { .. } | WireEvent::DefineList { .. } | WireEvent::Killed => return Ok(None),
     }))
 }
 
 fn run() -> Result<(), String> {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut input = std::io::stdin().lock();
     let mut output = std::io::BufWriter::new(std::io::stdout().lock());
     let mut line = String::new();
-    for number in 1.. {
+    for line_number in 1.. {
         line.clear();
-        let read = input.read_line(&mut line).map_err(|error| format!("line {number}: {error}"))?;
-        if read == 0 {
+        let bytes_read =
+            input.read_line(&mut line).map_err(|error| format!("line {line_number}: {error}"))?;
+        if bytes_read == 0 {
             break;
         }
-        let reply = host.batch(&line).map_err(|reason| format!("line {number}: {reason}"))?;
+        let reply = adapter.handle_batch(&line).map_err(|error| format!("line {line_number}: {error}"))?;
         serde_json::to_writer(&mut output, &reply).map_err(|error| error.to_string())?;
         output.write_all(b"\n").and_then(|()| output.flush()).map_err(|error| error.to_string())?;
     }
@@ -153,8 +163,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(reason) => {
-            eprintln!("sagemast-simhost: {reason}");
+        Err(error) => {
+            eprintln!("sagemast-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/sagemast-simhost/wire.rs
+++ b/src/bin/sagemast-simhost/wire.rs
@@ -1,183 +1,230 @@
-//! The simulator's wire: JSON lines, read into types and turned into the module's own terms.
+//! Messages of the simulator's wire protocol, and their conversion to the types of the decision module. Fields and
+//! variants have the module's names; `serde(rename)` gives the name on the wire.
 
 use sagemast::api::*;
 use sagemast::settings::{SettingsObject, ring_position};
 use serde::{Deserialize, Serialize};
 
+/// A line of input: events at one point in time, grouped by sidecar.
 #[derive(Deserialize)]
 pub struct Batch {
-    pub wall: f64,
+    #[serde(rename = "wall")]
+    pub now: f64,
     pub turn: u64,
     pub parts: Vec<Inbox>,
 }
 
+/// The events of one sidecar.
 #[derive(Deserialize)]
 pub struct Inbox {
     pub sidecar: String,
-    pub inbox: Vec<WireEvent>,
+    #[serde(rename = "inbox")]
+    pub events: Vec<WireEvent>,
 }
 
 #[derive(Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireEvent {
-    Hello {
-        salt: u64,
+    #[serde(rename = "hello")]
+    Start {
+        #[serde(rename = "salt")]
+        seed: u64,
         config: Box<SettingsObject>,
     },
     DefineList {
-        list: u64,
-        rows_in: Vec<Row>,
+        #[serde(rename = "list")]
+        list_number: u64,
+        #[serde(rename = "rows_in")]
+        rows: Vec<UpstreamRow>,
     },
     Sync {
         mode: SyncMode,
-        list: Option<u64>,
+        #[serde(rename = "list")]
+        list_number: Option<u64>,
     },
-    Arrival {
-        xid: Hex,
-        #[serde(default)]
-        owner: usize,
+    #[serde(rename = "arrival")]
+    RequestArrived {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
+        #[serde(default, rename = "owner")]
+        tenant: usize,
         time_left: f64,
-        category: usize,
-        #[serde(default)]
-        state_bits: u64,
-        cost_guess: Option<f64>,
+        #[serde(rename = "category")]
+        class: usize,
+        #[serde(default, rename = "state_bits")]
+        flags: u64,
+        #[serde(rename = "cost_guess")]
+        cost: Option<f64>,
     },
     Killed,
-    Pong {
+    #[serde(rename = "pong")]
+    ProbeFinished {
         upstream: u64,
-        disposition: Disposition,
-        server_stats: Option<Vec<f64>>,
+        #[serde(rename = "disposition")]
+        outcome: WireOutcome,
+        #[serde(rename = "server_stats")]
+        report: Option<Vec<f64>>,
     },
-    Ring {
+    #[serde(rename = "ring")]
+    TimerFired {
         #[serde(rename = "ref")]
         token: u64,
     },
-    Lapsed {
-        xid: Hex,
+    #[serde(rename = "lapsed")]
+    RequestAbandoned {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
     },
-    Heard {},
-    Returned {
-        xid: Hex,
-        #[serde(default)]
-        ended: bool,
+    #[serde(rename = "heard")]
+    PeerMessage {},
+    #[serde(rename = "returned")]
+    AttemptFinished {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
+        #[serde(default, rename = "ended")]
+        request_completed: bool,
         upstream: u64,
-        shot: u32,
+        #[serde(rename = "shot")]
+        attempt: u32,
         latency: f64,
-        disposition: Disposition,
-        server_stats: Option<Vec<f64>>,
+        #[serde(rename = "disposition")]
+        outcome: WireOutcome,
+        #[serde(rename = "server_stats")]
+        report: Option<Vec<f64>>,
     },
-    UnderWay {},
+    #[serde(rename = "under_way")]
+    AttemptStarted {},
 }
 
+/// Bit of [`WireEvent::RequestArrived::flags`]: the cost estimate is valid.
+pub const FLAG_COST_VALID: u64 = 1;
+
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncMode {
-    Update,
-    Replace,
+    #[serde(rename = "update")]
+    Delta,
+    #[serde(rename = "replace")]
+    Snapshot,
     Restored,
     Unavailable,
 }
 
-/// A request id: 16 hex digits on the wire.
+/// A request id, 16 hexadecimal digits on the wire.
 #[derive(Clone, Copy)]
-pub struct Hex(pub u64);
-
-impl<'de> Deserialize<'de> for Hex {
-    fn deserialize<D: serde::Deserializer<'de>>(de: D) -> Result<Self, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(de)?;
-        // A sign would pass for a digit.
-        let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let value = u64::from_str_radix(&text, 16).ok().filter(|_| digits);
-        value.map(Hex).ok_or_else(|| serde::de::Error::custom("a request id is 16 hex digits"))
+pub struct WireRequestId(pub u64);
+
+impl<'de> Deserialize<'de> for WireRequestId {
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
+        // `from_str_radix` also accepts a leading sign.
+        let is_valid = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let value = u64::from_str_radix(&text, 16).ok().filter(|_| is_valid);
+        value
+            .map(WireRequestId)
+            .ok_or_else(|| serde::de::Error::custom("a request id must be 16 hexadecimal digits"))
     }
 }
 
-impl Serialize for Hex {
-    fn serialize<S: serde::Serializer>(&self, ser: S) -> Result<S::Ok, S::Error> {
-        ser.collect_str(&format_args!("{:016x}", self.0))
+impl Serialize for WireRequestId {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&format_args!("{:016x}", self.0))
     }
 }
 
+/// How an attempt or a probe ended.
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum Disposition {
-    Pass,
-    Fault,
-    NoRoom,
-    TooSlow,
-    NoRoute,
-    Cut,
-    Undone,
-    StaleSend,
-}
-
-impl From<Disposition> for Outcome {
-    fn from(wire: Disposition) -> Outcome {
-        match wire {
-            Disposition::Pass => Outcome::Ok,
-            Disposition::Fault => Outcome::Error,
-            Disposition::NoRoom => Outcome::Rejected,
-            Disposition::TooSlow => Outcome::TimedOut,
-            Disposition::NoRoute => Outcome::Unreachable,
-            Disposition::Cut => Outcome::Reset,
-            Disposition::Undone => Outcome::Cancelled,
-            Disposition::StaleSend => Outcome::NotSent,
+pub enum WireOutcome {
+    #[serde(rename = "pass")]
+    Ok,
+    #[serde(rename = "fault")]
+    Error,
+    #[serde(rename = "no_room")]
+    Rejected,
+    #[serde(rename = "too_slow")]
+    TimedOut,
+    #[serde(rename = "no_route")]
+    Unreachable,
+    #[serde(rename = "cut")]
+    Reset,
+    #[serde(rename = "undone")]
+    Cancelled,
+    #[serde(rename = "stale_send")]
+    NotSent,
+}
+
+impl From<WireOutcome> for Outcome {
+    fn from(outcome: WireOutcome) -> Outcome {
+        match outcome {
+            WireOutcome::Ok => Outcome::Ok,
+            WireOutcome::Error => Outcome::Error,
+            WireOutcome::Rejected => Outcome::Rejected,
+            WireOutcome::TimedOut => Outcome::TimedOut,
+            WireOutcome::Unreachable => Outcome::Unreachable,
+            WireOutcome::Reset => Outcome::Reset,
+            WireOutcome::Cancelled => Outcome::Cancelled,
+            WireOutcome::NotSent => Outcome::NotSent,
         }
     }
 }
 
+/// An entry of an upstream list.
 #[derive(Deserialize, Clone)]
-pub struct Row {
+pub struct UpstreamRow {
     upstream: u64,
-    #[serde(default)]
-    hall: u64,
-    #[serde(default)]
-    shape: u64,
-    #[serde(default)]
-    stripe: u64,
+    #[serde(default, rename = "hall")]
+    zone: u64,
+    #[serde(default, rename = "shape")]
+    machine_type: u64,
+    #[serde(default, rename = "stripe")]
+    cell: u64,
     lifecycle: WireLifecycle,
-    #[serde(default = "one")]
-    capacity_hint: f64,
-    #[serde(default)]
-    launched: f64,
+    #[serde(default = "default_weight", rename = "capacity_hint")]
+    weight: f64,
+    #[serde(default, rename = "launched")]
+    started_at: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 #[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
 enum WireLifecycle {
-    InService,
-    Terminating,
+    #[serde(rename = "in_service")]
+    Serving,
+    #[serde(rename = "terminating")]
+    Draining,
+    #[serde(rename = "terminated")]
     Terminated,
 }
 
-impl From<&Row> for UpstreamRecord {
-    fn from(row: &Row) -> UpstreamRecord {
+impl From<&UpstreamRow> for UpstreamRecord {
+    fn from(row: &UpstreamRow) -> UpstreamRecord {
         UpstreamRecord {
             upstream: UpstreamId(row.upstream),
-            zone: ZoneId(row.hall),
-            cell: CellId(row.stripe),
+            zone: ZoneId(row.zone),
+            cell: CellId(row.cell),
             ring_position: ring_position(&row.upstream.to_be_bytes()),
-            machine_type: MachineTypeId(row.shape),
+            machine_type: MachineTypeId(row.machine_type),
             lifecycle: match row.lifecycle {
-                WireLifecycle::InService => Lifecycle::Serving,
-                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Draining,
+                WireLifecycle::Serving => Lifecycle::Serving,
+                WireLifecycle::Draining | WireLifecycle::Terminated => Lifecycle::Draining,
             },
-            weight: row.capacity_hint,
-            started_at: (row.launched > 0.0).then_some(row.launched),
+            weight: row.weight,
+            started_at: (row.started_at > 0.0).then_some(row.started_at),
         }
     }
 }
 
+/// A line of output: the actions that a batch led to, grouped by sidecar.
 #[derive(Serialize)]
 pub struct Reply {
     pub turn: u64,
     pub parts: Vec<Outbox>,
 }
 
+/// The actions of one sidecar.
 #[derive(Serialize)]
 pub struct Outbox {
     pub sidecar: String,
@@ -187,55 +234,67 @@
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireAction {
-    Relay {
-        xid: Hex,
+    #[serde(rename = "relay")]
+    Send {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
         upstream: u64,
-        patience: f64,
+        #[serde(rename = "patience")]
+        timeout: f64,
     },
-    Revoke {
-        xid: Hex,
-        shot: u32,
+    #[serde(rename = "revoke")]
+    Cancel {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
+        #[serde(rename = "shot")]
+        attempt: u32,
     },
-    PushBack {
-        xid: Hex,
-        come_back: f64,
+    #[serde(rename = "push_back")]
+    Refuse {
+        #[serde(rename = "xid")]
+        request: WireRequestId,
+        #[serde(rename = "come_back")]
+        retry_after: f64,
     },
     Fail {
-        xid: Hex,
-    },
-    AskLoad {
-        upstream: u64,
+        #[serde(rename = "xid")]
+        request: WireRequestId,
     },
-    SetAlarm {
-        time: f64,
+    #[serde(rename = "ask_load")]
+    Probe { upstream: u64 },
+    #[serde(rename = "set_alarm")]
+    SetTimer {
+        #[serde(rename = "time")]
+        at: f64,
         #[serde(rename = "ref")]
         token: u64,
     },
-    Follow {
-        want: bool,
-    },
-    NoteDown {
-        text: String,
+    #[serde(rename = "follow")]
+    Subscribe {
+        #[serde(rename = "want")]
+        subscribe: bool,
     },
+    #[serde(rename = "note_down")]
+    Log { text: String },
 }
 
 impl From<Action> for WireAction {
     fn from(action: Action) -> WireAction {
         match action {
             Action::Send { request, upstream, timeout } => {
-                WireAction::Relay { xid: Hex(request.0), upstream: upstream.0, patience: timeout }
+                WireAction::Send { request: WireRequestId(request.0), upstream: upstream.0, timeout }
             }
             Action::Cancel { request, attempt } => {
-                WireAction::Revoke { xid: Hex(request.0), shot: attempt.0 }
+                WireAction::Cancel { request: WireRequestId(request.0), attempt: attempt.0 }
             }
             Action::Refuse { request, retry_after } => {
-                WireAction::PushBack { xid: Hex(request.0), come_back: retry_after }
+                WireAction::Refuse { request: WireRequestId(request.0), retry_after }
             }
-            Action::Fail(request) => WireAction::Fail { xid: Hex(request.0) },
-            Action::Probe(upstream) => WireAction::AskLoad { upstream: upstream.0 },
-            Action::SetTimer { at, token } => WireAction::SetAlarm { time: at, token },
-            Action::Subscribe => WireAction::Follow { want: true },
-            Action::Log(text) => WireAction::NoteDown { text },
+            Action::Fail(request) => WireAction::Fail { request: WireRequestId(request.0) },
+            Action::Probe(upstream) => WireAction::Probe { upstream: upstream.0 },
+            Action::SetTimer { at, token } => WireAction::SetTimer { at, token },
+            Action::Subscribe => WireAction::Subscribe { subscribe: true },
+            Action::Log(text) => WireAction::Log { text },
         }
     }
 }
