--- /dev/null
+++ b/tests/discovery_retries.rs
@@ -0,0 +1,333 @@
+//! Retries of calls to discovery: after refused, unanswered or aborted calls a change is still applied within its
+//! deadline, and the retries of a fleet are spread over time.
+
+mod common;
+mod loopback;
+
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use common::{BalancerHarness, listing};
+use loopback::{
+    SETTINGS_JSON, Sidecar, Upstream, WAIT_TIMEOUT, config_json, host_entry, host_list, read_message,
+    ready_hosts, wait_until,
+};
+use sagemast::api::*;
+
+/// Time in which a change must be in force once discovery has it and can be reached.
+const UPDATE_DEADLINE: Millis = 6_000.0;
+/// Call timeout of the sidecar.
+const CALL_TIMEOUT: Millis = 2_500.0;
+
+/// A balancer that subscribes to discovery itself and has received one snapshot.
+fn subscribed_balancer(subscribe_within: Millis, seed: u64) -> BalancerHarness {
+    let settings =
+        Settings { discovery: DiscoveryMode::Subscribe { subscribe_within }, ..common::settings() };
+    let mut harness = BalancerHarness::with_seed(settings, vec![listing(1)], seed);
+    harness.handle_event(Event::TimerFired(0));
+    harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![listing(1)])));
+    harness
+}
+
+/// Reports a failed call, advances the clock to the next one and returns the wait between the two.
+fn fail_call(harness: &mut BalancerHarness) -> Millis {
+    let actions = harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
+    let at = actions.iter().find_map(|action| match action {
+        Action::SetTimer { at, token: 0 } => Some(*at),
+        _ => None,
+    });
+    let wait = at.expect("no timer for the next call") - harness.now;
+    harness.now += wait;
+    assert!(harness.handle_event(Event::TimerFired(0)).contains(&Action::Subscribe));
+    wait
+}
+
+/// One call times out, the next is refused: the third one still starts within the update deadline.
+#[test]
+fn third_call_starts_in_time_after_a_timeout_and_a_refusal() {
+    for subscribe_within in [300.0, 2_000.0, 10_000.0, 600_000.0] {
+        for seed in 0..500 {
+            let mut harness = subscribed_balancer(subscribe_within, seed);
+            // Earlier failures, so that the backoff starts at different levels.
+            for _ in 0..seed % 6 {
+                fail_call(&mut harness);
+            }
+            harness.now += CALL_TIMEOUT;
+            let third_call_after = CALL_TIMEOUT + fail_call(&mut harness) + fail_call(&mut harness);
+            assert!(
+                third_call_after < UPDATE_DEADLINE - 400.0,
+                "must_ask_in {subscribe_within} ms, seed {seed}: {third_call_after}"
+            );
+        }
+    }
+}
+
+#[test]
+fn backoff_grows_up_to_its_cap() {
+    for (subscribe_within, max_waits) in
+        [(400.0, [200.0, 400.0, 400.0]), (2_000.0, [1_000.0, 1_500.0, 1_500.0])]
+    {
+        let mut longest = [0.0_f64; 3];
+        for seed in 0..300 {
+            let mut harness = subscribed_balancer(subscribe_within, seed);
+            longest.iter_mut().for_each(|longest| *longest = longest.max(fail_call(&mut harness)));
+        }
+        let within_bounds = longest.iter().zip(max_waits).all(|(wait, max)| (0.9 * max..max).contains(wait));
+        assert!(within_bounds, "must_ask_in {subscribe_within} ms: {longest:?}");
+    }
+}
+
+/// Guards against synchronised retries when a fleet of 2000 sidecars loses discovery at the same time.
+#[test]
+fn fleet_retries_are_spread_over_time() {
+    for failures in [1, 2, 5] {
+        let mut histogram = [0_usize; 15];
+        for seed in 0..2_000 {
+            let mut harness = subscribed_balancer(10_000.0, seed);
+            let start = harness.now;
+            for _ in 0..failures {
+                fail_call(&mut harness);
+            }
+            let bin = (harness.now - start) / (100.0 * f64::from(failures));
+            histogram[(bin as usize).min(14)] += 1;
+        }
+        let fullest = *histogram.iter().max().unwrap();
+        // One wait is uniformly distributed; the sum of several has a bell-shaped distribution.
+        assert!(fullest < 2_000 * 3 / 10, "after {failures} failures: {histogram:?}");
+        assert!(
+            histogram.iter().filter(|count| **count > 0).count() >= 10,
+            "after {failures} failures: {histogram:?}"
+        );
+    }
+}
+
+/// How discovery fails a call.
+#[derive(Clone, Copy, Debug)]
+enum Failure {
+    /// Reads the request and sends nothing.
+    NoResponse,
+    /// Responds with status 503.
+    Unavailable,
+    /// Closes the connection without a response.
+    Close,
+    /// Sends the response header and no body.
+    HeaderOnly,
+}
+
+/// A discovery that fails all calls until it recovers.
+struct FailingDiscovery {
+    address: SocketAddr,
+    recovered: Arc<AtomicBool>,
+    /// Number of watches answered with the list.
+    watches_served: Arc<AtomicUsize>,
+}
+
+impl FailingDiscovery {
+    fn new(failure: Failure, list: String) -> FailingDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let recovered = Arc::new(AtomicBool::new(false));
+        let watches_served = Arc::new(AtomicUsize::new(0));
+        let discovery = FailingDiscovery {
+            address,
+            recovered: recovered.clone(),
+            watches_served: watches_served.clone(),
+        };
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let (recovered, watches_served) = (recovered.load(Ordering::SeqCst), watches_served.clone());
+                let list = list.clone();
+                std::thread::spawn(move || {
+                    answer_watch(stream, (!recovered).then_some(failure), &list, &watches_served)
+                });
+            }
+        });
+        discovery
+    }
+}
+
+/// Answers one call: with `failure`, or with the list and an empty line per second.
+fn answer_watch(mut stream: TcpStream, failure: Option<Failure>, list: &str, watches_served: &AtomicUsize) {
+    let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
+    if read_message(&mut reader).is_none() {
+        return;
+    }
+    const RESPONSE_HEADER: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let _ = match failure {
+        None => {
+            let _ = stream.write_all(RESPONSE_HEADER);
+            let _ = stream.write_all(format!("{:x}\r\n{list}\n\r\n", list.len() + 1).as_bytes());
+            watches_served.fetch_add(1, Ordering::SeqCst);
+            while stream.write_all(b"1\r\n\n\r\n").is_ok() {
+                std::thread::sleep(Duration::from_secs(1));
+            }
+            return;
+        }
+        Some(Failure::NoResponse) => Ok(()),
+        Some(Failure::Unavailable) => {
+            return drop(stream.write_all(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"));
+        }
+        Some(Failure::Close) => return,
+        Some(Failure::HeaderOnly) => stream.write_all(RESPONSE_HEADER),
+    };
+    // Keeps the connection open until the sidecar closes it.
+    let _ = read_message(&mut reader);
+}
+
+#[test]
+fn change_is_in_force_in_time_after_every_kind_of_failure() {
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
+    let subscribe_settings = |subscribe_within: &str| {
+        SETTINGS_JSON
+            .replace("automatic", "subscribe")
+            .replace(r#""must_ask_in":400.0"#, &format!(r#""must_ask_in":{subscribe_within}"#))
+            .replace(r#""drain_grace":2000.0"#, r#""drain_grace":5000.0"#)
+    };
+    let settings_variants = [
+        SETTINGS_JSON.to_owned(),
+        subscribe_settings("400.0"),
+        subscribe_settings("10000.0"),
+        subscribe_settings("60000.0"),
+    ];
+    let failures = [Failure::NoResponse, Failure::Unavailable, Failure::Close, Failure::HeaderOnly];
+    let cases: Vec<(&str, Failure, FailingDiscovery)> = settings_variants
+        .iter()
+        .flat_map(|settings| {
+            failures.map(|failure| (settings.as_str(), failure, FailingDiscovery::new(failure, list.clone())))
+        })
+        .collect();
+    const SIDECARS_PER_CASE: usize = 3;
+    let sidecars: Vec<Sidecar> = cases
+        .iter()
+        .flat_map(|(settings, _, discovery)| {
+            (0..SIDECARS_PER_CASE).map(|number| (*settings, discovery.address, number))
+        })
+        .map(|(settings, address, number)| {
+            let config = config_json("127.0.0.1:0", address, &ready_hosts(&[&a]), 1024, settings);
+            Sidecar::start(&config.replace("8c1f30d27a5be964", &format!("{}7", number + 1)))
+        })
+        .collect();
+    sidecars.iter().for_each(Sidecar::wait_until_up);
+    // Long enough for several failed calls of each sidecar.
+    std::thread::sleep(Duration::from_millis(5_500));
+    cases.iter().for_each(|(_, _, discovery)| discovery.recovered.store(true, Ordering::SeqCst));
+    let start = Instant::now();
+    let incomplete = |(_, failure, discovery): &&(&str, Failure, FailingDiscovery)| {
+        (discovery.watches_served.load(Ordering::SeqCst) < SIDECARS_PER_CASE).then_some(*failure).is_some()
+    };
+    while cases.iter().any(|case| incomplete(&case)) {
+        let late_cases: Vec<_> = cases
+            .iter()
+            .filter(incomplete)
+            .map(|(settings, failure, discovery)| (failure, settings.len(), discovery.address))
+            .collect();
+        assert!(
+            start.elapsed() < Duration::from_millis(UPDATE_DEADLINE as u64),
+            "the list was not delivered in time: {late_cases:?}"
+        );
+        std::thread::sleep(Duration::from_millis(20));
+    }
+    for sidecar in &sidecars {
+        let requests_before = b.requests().len();
+        let mut client = loopback::Client::connect(sidecar.address);
+        wait_until("the sidecar sends to the new upstream", || {
+            client.exchange("fetch").status() == 200 && b.requests().len() > requests_before
+        });
+    }
+    assert!(start.elapsed() < WAIT_TIMEOUT);
+}
+
+/// A discovery that accepts calls and never answers; also returns the times at which they arrived.
+fn unresponsive_discovery() -> (SocketAddr, Arc<Mutex<Vec<Instant>>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let calls = Arc::new(Mutex::new(Vec::new()));
+    let recorded_calls = calls.clone();
+    std::thread::spawn(move || {
+        let mut open_streams = Vec::new();
+        for stream in listener.incoming().flatten() {
+            recorded_calls.lock().unwrap().push(Instant::now());
+            open_streams.push(stream);
+        }
+    });
+    (address, calls)
+}
+
+/// Guards against calls at fixed intervals, which would keep the retries of a fleet synchronised.
+#[test]
+fn retries_against_an_unresponsive_discovery_are_jittered() {
+    let upstream = Upstream::new(|_| loopback::Behaviour::ok("served"));
+    let (address, calls) = unresponsive_discovery();
+    let sidecar =
+        Sidecar::start(&config_json("127.0.0.1:0", address, &ready_hosts(&[&upstream]), 1024, SETTINGS_JSON));
+    wait_until("the sidecar has called discovery more than 16 times", || calls.lock().unwrap().len() > 16);
+    drop(sidecar);
+    let calls = calls.lock().unwrap().clone();
+    let gaps: Vec<Duration> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    // The longest wait is 500 ms, a quarter of the drain grace.
+    let short_gaps = gaps.iter().filter(|gap| **gap < Duration::from_millis(250)).count();
+    assert!(short_gaps >= 3 && gaps.len() - short_gaps >= 3, "{gaps:?}");
+}
+
+/// A short drain grace makes calls frequent. Guards against cancelling each call before a slow discovery answers it.
+#[test]
+fn discovery_that_answers_more_slowly_than_the_retry_interval_is_heard() {
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let list = list.clone();
+            std::thread::spawn(move || {
+                std::thread::sleep(Duration::from_millis(1_200));
+                answer_watch(stream, None, &list, &AtomicUsize::new(0));
+            });
+        }
+    });
+    let settings = SETTINGS_JSON.replace(r#""drain_grace":2000.0"#, r#""drain_grace":100.0"#);
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, &ready_hosts(&[&a]), 1024, &settings));
+    let start = Instant::now();
+    let mut client = loopback::Client::connect(sidecar.address);
+    wait_until("the sidecar sends to the new upstream", || {
+        client.exchange("fetch").status() == 200 && !b.requests().is_empty()
+    });
+    assert!(start.elapsed() < Duration::from_millis(UPDATE_DEADLINE as u64), "{:?}", start.elapsed());
+}
+
+/// After SIGHUP the sidecar retries the new address until it answers. A watch that the decision module requests
+/// meanwhile must not replace these calls with a single one that times out only after 2.5 s.
+#[test]
+fn module_request_does_not_replace_the_calls_after_sighup() {
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
+    let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
+    let settings = SETTINGS_JSON.replace("automatic", "subscribe");
+    let old_discovery = FailingDiscovery::new(Failure::Unavailable, list.clone());
+    let new_discovery = FailingDiscovery::new(Failure::NoResponse, list);
+    let sidecar = Sidecar::start(&config_json(
+        "127.0.0.1:0",
+        old_discovery.address,
+        &ready_hosts(&[&a]),
+        1024,
+        &settings,
+    ));
+    sidecar.wait_until_up();
+    std::thread::sleep(Duration::from_millis(1_000));
+    sidecar.reload(&config_json("127.0.0.1:0", new_discovery.address, "null", 1024, &settings));
+    // Meanwhile the decision module requests a watch again.
+    std::thread::sleep(Duration::from_millis(900));
+    new_discovery.recovered.store(true, Ordering::SeqCst);
+    let start = Instant::now();
+    wait_until("the new discovery has served a watch", || {
+        new_discovery.watches_served.load(Ordering::SeqCst) > 0
+    });
+    assert!(start.elapsed() < Duration::from_millis(1_300), "{:?}", start.elapsed());
+    let mut client = loopback::Client::connect(sidecar.address);
+    wait_until("the sidecar sends to the new upstream", || {
+        client.exchange("fetch").status() == 200 && !b.requests().is_empty()
+    });
+}
