--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -24,17 +24,17 @@
     /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The last known list of upstreams. An invalid one is ignored, as discovery delivers a snapshot.
+    /// The last known list of upstreams, used until discovery answers. Invalid parts are ignored.
     #[serde(default, deserialize_with = "deserialize_known_list")]
     pub known: Option<HostList>,
-    /// Settings of the decision module, as the simulator sends them too.
+    /// Settings of the decision module, in the format that the simulator uses as well.
     pub settings: SettingsObject,
 }
 
 /// Memory of a connection under load: its buffer and a body in each direction, and the same for the connection to the
 /// upstream.
 const CONNECTION_KIB: usize = 256;
-/// Fewer file descriptors leave too few for connections on both sides.
+/// Minimum number of file descriptors; fewer leave none for connections on both sides.
 const MIN_SOCKETS: usize = 64;
 
 /// Resource limits of the process.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -39,8 +39,7 @@
 /// Upper bound of the backoff cap; leaves time for several calls within 6 s.
 const MAX_BACKOFF_CAP: Duration = Duration::from_millis(500);
 /// Maximum number of concurrent calls that have not been answered. One more cancels the oldest, or the second oldest
-/// while the oldest is within its call timeout, so that a discovery that answers more slowly than calls are made is
-/// still heard.
+/// while the oldest is within its call timeout: a discovery that is slower than the interval between calls can answer.
 const MAX_PENDING_CALLS: usize = 8;
 /// Delay before a snapshot with invalid entries is requested again.
 const INVALID_ENTRY_REFETCH_DELAY: Duration = Duration::from_millis(2_000);
--- a/tests/discovery_retries.rs
+++ b/tests/discovery_retries.rs
@@ -275,7 +275,7 @@
 
 /// A short drain grace makes calls frequent. Guards against cancelling each call before a slow discovery answers it.
 #[test]
-fn discovery_that_answers_more_slowly_than_the_retry_interval_is_heard() {
+fn discovery_slower_than_the_retry_interval_can_answer() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
     let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/timeouts_and_resets.rs
+++ b/tests/timeouts_and_resets.rs
@@ -1,4 +1,4 @@
-//! The remaining time that upstreams are told, incomplete responses, and the deduplication window of keyed requests.
+//! Timeouts forwarded to upstreams, incomplete responses, and the deduplication window of keyed requests.
 
 mod loopback;
 
