--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -21,7 +21,7 @@
 /// Factor on the weight of a capacity sample above the estimate.
 const CAPACITY_RISE_FACTOR: f64 = 0.1;
 /// Below this reported utilisation, in-flight / utilisation is dominated by rounding.
-const MIN_UTILISATION: f64 = 0.1;
+const MIN_REPORTED_UTILISATION: f64 = 0.1;
 /// Moving-average weight of a sample for one server.
 const SERVER_EWMA_WEIGHT: f64 = 0.15;
 /// Moving-average weight of a timeout in a server's service time ratio.
@@ -349,24 +349,24 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, target: Candidate, has_alternatives: bool, out: &mut Vec<Action>) {
+    fn send(&mut self, request: RequestId, server: Candidate, has_alternatives: bool, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
-        let timeout = self.attempt_timeout(pending, target, has_alternatives);
+        let timeout = self.attempt_timeout(pending, server, has_alternatives);
         let (class, attempt, sent_at) = (pending.class, AttemptNo(pending.attempts.len() as u32), self.now);
-        let Some(upstream) = self.server_list.upstreams.get_mut(&target.id) else { return };
-        upstream.outstanding.push(OutstandingAttempt { request, attempt, class, sent_at, candidate: target });
-        if target.capacity_fraction < 1.0 {
-            upstream.cold_start_tokens = target.cold_start_tokens - 1.0;
+        let Some(upstream) = self.server_list.upstreams.get_mut(&server.id) else { return };
+        upstream.outstanding.push(OutstandingAttempt { request, attempt, class, sent_at, candidate: server });
+        if server.capacity_fraction < 1.0 {
+            upstream.cold_start_tokens = server.cold_start_tokens - 1.0;
             upstream.cold_start_tokens_updated_at = sent_at;
         }
         if let Some(pending) = self.requests.get_mut(&request) {
-            pending.attempts.push(Attempt::new(target.id, upstream, sent_at));
+            pending.attempts.push(Attempt::new(server.id, upstream, sent_at));
         }
-        out.push(Action::Send { request, upstream: target.id, timeout });
+        out.push(Action::Send { request, upstream: server.id, timeout });
     }
 
-    /// Timeout of an attempt: if a retry is possible, leaves time for one before the latency target.
-    fn attempt_timeout(&self, pending: &PendingRequest, target: Candidate, has_alternatives: bool) -> Millis {
+    /// Timeout of an attempt: if a retry is possible, leaves time for one before the latency server.
+    fn attempt_timeout(&self, pending: &PendingRequest, server: Candidate, has_alternatives: bool) -> Millis {
         let time_left = (pending.deadline - self.now).max(0.0);
         let class = &self.settings.classes[pending.class.0];
         let is_last = pending.attempts.len() as u32 + 1 >= self.settings.limits.max_attempts;
@@ -377,7 +377,7 @@
         let service_time = self.state.classes[pending.class.0].service_time;
         let retry_reserve = RETRY_RESERVE_SERVICE_TIMES * pending.relative_cost * service_time;
         let available = pending.arrived_at + class.latency_target - self.now - retry_reserve;
-        available.max(MIN_TIMEOUT_FACTOR * target.expected_response_time()).min(time_left)
+        available.max(MIN_TIMEOUT_FACTOR * server.expected_response_time()).min(time_left)
     }
 
     /// Completes the request of a finished attempt, retries it or ends it without a response.
@@ -494,17 +494,16 @@
             let weight_for = |time_constant: Millis| 1.0 - (-elapsed / time_constant).exp();
             let in_flight_weight = weight_for(IN_FLIGHT_TIME_CONSTANT);
             let others_weight = weight_for(OTHERS_IN_FLIGHT_TIME_CONSTANT).max(min_others_weight);
-            // The age of a report is unknown, so it may not match the outstanding attempts of this moment;
+            // The age of a report is unknown, so its count may not include all outstanding attempts;
             // the error averages out over several reports.
             let others_in_flight = in_flight - upstream.outstanding.len() as f64;
             upstream.others_in_flight += others_weight * (others_in_flight - upstream.others_in_flight);
             upstream.last_report_at = now;
             // Utilisation is reported as a running mean, so it is compared with the mean in-flight count.
             upstream.mean_in_flight += in_flight_weight * (in_flight - upstream.mean_in_flight);
-            let Some(utilisation) = report.utilisation.filter(|u| *u >= MIN_UTILISATION) else {
-                return;
-            };
-            // The utilisation mean of a server that has just started is too low and inflates the capacity.
+            let is_usable = |utilisation: &f64| *utilisation >= MIN_REPORTED_UTILISATION;
+            let Some(utilisation) = report.utilisation.filter(is_usable) else { return };
+            // Servers that started with this sidecar report too low a mean utilisation at first.
             if now < *state.first_report_at.get_or_insert(now) + 2.0 * IN_FLIGHT_TIME_CONSTANT {
                 return;
             }
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,5 +1,5 @@
-//! Data model of the decision module: requests, attempts, servers and running statistics. Decisions are made in
-//! `src/balancer.rs`.
+//! Data model of the decision module: requests, attempts, servers and running statistics. Decisions are made
+//! in `src/balancer.rs`.
 
 use std::collections::BTreeMap;
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Capacity of a cold server's token bucket. It is small because many sidecars may spend their tokens at once.
+/// Capacity of a cold server's token bucket; small, as many sidecars may spend their tokens at once.
 const MAX_COLD_START_TOKENS: f64 = 2.0;
 
 /// An attempt that a server has not answered yet.
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Adds a client's cost estimate to the median and returns its ratio to the median, or 1 without an estimate.
+    /// Adds a client's cost estimate to the median and returns its ratio to it, or 1 without an estimate.
     pub fn relative_cost(&mut self, cost: Option<f64>) -> f64 {
         let Some(cost) = cost.filter(|cost| cost.is_finite() && *cost > 0.0) else { return 1.0 };
         self.cost_samples += 1.0;
@@ -122,7 +122,7 @@
         (cost / self.median_cost).clamp(1.0 / MAX_RELATIVE_COST, MAX_RELATIVE_COST)
     }
 
-    /// Moves the median service time towards a sample by the fraction `min_step`, or more for the first samples.
+    /// Moves the median service time towards a sample by the fraction `min_step`; more for the first samples.
     pub fn add_service_time(&mut self, sample: Millis, min_step: f64) {
         self.service_time_samples += 1.0;
         let step = self.service_time * min_step.max(0.5 / self.service_time_samples);
@@ -133,8 +133,8 @@
 /// Statistics of a group of servers: those of one machine type, or the whole fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServerGroupStats {
-    /// Moving average of reported in-flight counts. Its ratio to `mean_utilisation` estimates the capacity of one
-    /// server of the group.
+    /// Moving average of reported in-flight counts. Its ratio to `mean_utilisation` estimates the capacity of
+    /// one server of the group.
     pub mean_in_flight: f64,
     /// Moving average of reported utilisations.
     pub mean_utilisation: f64,
@@ -165,7 +165,7 @@
         self.mean_utilisation += weight * (utilisation - self.mean_utilisation);
     }
 
-    /// Adds a response's service time relative to the fleet with weight `min_weight`, or more for the first ones.
+    /// Adds a service time relative to the fleet with weight `min_weight`, or more for the first responses.
     pub fn add_response(&mut self, service_time_ratio: f64, min_weight: f64) {
         self.response_count += 1.0;
         self.service_time_ratio *= (service_time_ratio.max(0.01) / self.service_time_ratio)
@@ -201,7 +201,7 @@
     pub machine_types: BTreeMap<MachineTypeId, ServerGroupStats>,
     /// Statistics of all servers together.
     pub fleet: ServerGroupStats,
-    /// Moving average of the fraction of placements for which no server had room.
+    /// Moving average of the fraction of selections for which no server had room.
     pub refusal_rate: f64,
     /// Tokens in the retry budget.
     pub retry_tokens: f64,
@@ -228,8 +228,8 @@
 }
 
 impl SidecarState {
-    /// Adds a reported utilisation to the fleet average. The time constant is that of the success rate, so that the
-    /// two can be divided, and the average starts at 0 as the rate does.
+    /// Adds a reported utilisation to the fleet average. The time constant is that of the success rate, so
+    /// that the two can be divided, and the average starts at 0 as the rate does.
     pub fn add_utilisation(&mut self, utilisation: f64, now: Millis, time_constant: Millis) {
         let elapsed = now - self.fleet_utilisation_updated_at.unwrap_or(now);
         let weight = 1.0 - (-elapsed / time_constant).exp();
@@ -334,8 +334,8 @@
 
 /// The result of selecting servers for a request.
 pub(crate) struct Selection {
-    /// Whether admission control accepts the request on any server. The pair may still be missing if only cold
-    /// servers have room and none of them may be sent more.
+    /// Whether admission control accepts the request on any server. The pair may still be missing if only
+    /// cold servers have room and none of them may be sent more.
     pub has_room: bool,
     /// Whether the request may be sent to more than one server.
     pub has_alternatives: bool,
@@ -360,16 +360,16 @@
     pub examined: Vec<Candidate>,
     /// Set if no candidate is eligible: a request to an ineligible server is better than none.
     pub ignore_eligibility: bool,
-    /// Uniform random number from 0 to 1 that decides on all cold servers. With one number per server, some cold
-    /// server would be admitted for nearly every request.
+    /// Uniform random number from 0 to 1 that decides on all cold servers. With one number per server, some
+    /// cold server would be admitted for nearly every request.
     pub cold_start_draw: f64,
     /// Sorted projected utilisations of the candidates with room, indexed by whether they are preferred.
     pub utilisations_with_room: Option<[Vec<f64>; 2]>,
 }
 
 impl SelectionContext {
-    /// Whether admission control accepts the request on this candidate. An idle server always has room, so that an
-    /// overestimated service time cannot close all servers for good.
+    /// Whether admission control accepts the request on this candidate. An idle server always has room, so
+    /// that an overestimated service time cannot close all servers for good.
     pub fn has_room(&self, candidate: &Candidate) -> bool {
         (candidate.eligible || self.ignore_eligibility)
             && (candidate.idle || candidate.typical_response_time <= self.response_time_limit)
--- a/src/server_list.rs
+++ b/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The listed servers and totals over them. The totals are updated with each change of a server, so that the cost of
+//! The listed servers and totals over them. The totals are updated with each change of a server: the cost of
 //! a request does not grow with the number of servers. Part of the decision module in `src/balancer.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -8,14 +8,14 @@
 use crate::api::*;
 use crate::model::*;
 
-/// Age at which a load report goes stale. It is about the servers' own report interval, so an earlier probe would
-/// not return anything new.
+/// Age at which a load report goes stale. It is about the servers' own report interval, so an earlier probe
+/// would not return anything new.
 pub(crate) const REPORT_MAX_AGE: Millis = 1_000.0;
 /// Time constant with which the failure rate of a server without requests decays.
 const FAILURE_RATE_TIME_CONSTANT: Millis = 5_000.0;
-/// Fixed-point scale of in-flight totals: unlike floating-point sums, integer sums do not depend on their order.
+/// Fixed-point scale of in-flight totals; integer sums do not depend on the order of addition.
 const FIXED_POINT_SCALE: f64 = (1 << 20) as f64;
-/// In-flight counts are clamped to this, so that totals over hundreds of thousands of servers do not overflow.
+/// In-flight counts are clamped to this, so that the totals of very large fleets do not overflow.
 const MAX_OTHERS_IN_FLIGHT: f64 = 1e6;
 
 /// A serving server on the ring of its zone. The derived order is the same in all sidecars.
@@ -145,8 +145,8 @@
         self.version += u64::from(upstream.health != previous_health);
     }
 
-    /// Applies records from discovery. Servers missing from a complete list no longer serve. A server that no longer
-    /// serves is removed once it has no outstanding attempts.
+    /// Applies records from discovery. Servers missing from a complete list no longer serve. A server that no
+    /// longer serves is removed once it has no outstanding attempts.
     pub fn apply(&mut self, records: &[UpstreamRecord], complete: bool, now: Millis, rng: &mut Rand64) {
         if complete {
             self.upstreams.values_mut().for_each(|upstream| upstream.serving = false);
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -1,5 +1,5 @@
-//! The share of the fleet's capacity that this sidecar uses: the subset of servers it draws from, the rate at which
-//! it may send to cold servers, and its probe budget. Part of the decision module in `src/balancer.rs`.
+//! The share of the fleet's capacity that this sidecar uses: the subset of servers it draws from, the rate at
+//! which it may send to cold servers, and its probe budget. Part of the decision module in `src/balancer.rs`.
 
 use crate::api::*;
 use crate::balancer::Balancer;
@@ -7,28 +7,28 @@
 
 /// The subset has at least this many servers, which bounds the effect of a single server failure.
 const MIN_SUBSET_SIZE: f64 = 12.0;
-/// Each server is in the subsets of at least this many sidecars, which averages out their unequal request rates.
+/// Each server is in the subsets of at least this many sidecars: their unequal request rates average out.
 const MIN_SIDECARS_PER_SERVER: f64 = 10.0;
-/// The subset is sized so that each of its servers receives one request per this interval: load reports then arrive
-/// about as often as they go stale.
+/// The subset is sized so that each of its servers receives one request per this interval: load reports then
+/// arrive about as often as they go stale.
 const REQUEST_INTERVAL_PER_SERVER: Millis = 1_000.0;
 /// The subset is recomputed after this time, or at once when the server list or an ejection changes.
 const SUBSET_REFRESH_INTERVAL: Millis = 100.0;
-/// Time constant of the arrival and success rates. It is long, so that a burst does not enlarge the subset and with
-/// it the number of connections.
+/// Time constant of the arrival and success rates. It is long, so that a burst does not enlarge the subset
+/// and with it the number of connections.
 pub(crate) const RATE_TIME_CONSTANT: Millis = 5_000.0;
 /// Lower bound on the fleet utilisation when capacity is derived from throughput.
 const MIN_FLEET_UTILISATION: f64 = 0.2;
 /// Fraction of a cold server's limit that is used, since its capacity and the cost of requests are estimates.
 const COLD_START_SAFETY_FACTOR: f64 = 0.5;
-/// Random admission to a cold server may use this fraction of its limit before the safety factor; the rest is left
-/// for retries and for random variation.
+/// Random admission to a cold server may use this fraction of its limit before the safety factor; the rest is
+/// left for retries and for random variation.
 const COLD_START_RANDOM_FRACTION: f64 = 0.6;
 /// Probes may cost this fraction of the value of the requests if responses carry load reports as well.
 const PROBE_COST_FRACTION: f64 = 0.001;
 /// Capacity of the probe budget's token bucket.
 pub(crate) const MAX_PROBE_TOKENS: f64 = 2.0;
-/// The fractional parts of multiples of the golden ratio's conjugate are spread evenly over any number of terms.
+/// The fractional parts of any number of its multiples are spread evenly between 0 and 1.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
 /// The servers that this sidecar draws from.
@@ -58,8 +58,8 @@
 }
 
 impl Balancer {
-    /// The servers that a request may be sent to now. After an attempt that may have run, they are determined by
-    /// the deduplication scope of the request's class.
+    /// The servers that a request may be sent to now. After an attempt that may have run, they are determined
+    /// by the deduplication scope of the request's class.
     pub(crate) fn reachable_upstreams(&mut self, pending: &PendingRequest) -> ReachableUpstreams {
         self.refresh_subset();
         let may_have_run = |attempt: &&Attempt| attempt.in_flight || attempt.may_have_run;
@@ -92,10 +92,10 @@
         ReachableUpstreams { ids, local_count }
     }
 
-    /// Recomputes the subset if it is outdated. Per zone, it is a section of the ring whose starting point depends
-    /// on the sidecar's index, so that the sections of all sidecars overlap and cover the ring. Ejected servers do
-    /// not count towards its size and cold ones count as their current capacity fraction; the next servers on the
-    /// ring make up for them.
+    /// Recomputes the subset if it is outdated. Per zone, it is a section of the ring whose starting point
+    /// depends on the sidecar's index, so that the sections of all sidecars overlap and cover the ring.
+    /// Ejected servers do not count towards its size and cold ones count as their current capacity fraction;
+    /// the next servers on the ring make up for them.
     fn refresh_subset(&mut self) {
         let (list_version, own_zone) = (self.server_list.version, self.settings.zone);
         let is_current = |basis: &SubsetBasis| {
@@ -118,7 +118,7 @@
         let (mut members, mut local_count) = (std::mem::take(&mut self.subset.members), 0);
         members.clear();
         for (zone, ring) in self.server_list.rings_from(own_zone) {
-            // The offset per zone gives sidecars that are adjacent in one zone different neighbours in the next.
+            // The offset per zone gives sidecars adjacent in one zone different neighbours in the next.
             let zone_offset = zone.0 as f64 * GOLDEN_RATIO_CONJUGATE * GOLDEN_RATIO_CONJUGATE;
             let start = ((sidecar_index + 1.0) * GOLDEN_RATIO_CONJUGATE + zone_offset).fract();
             let (before_start, from_start) = ring.split_at((start * ring.len() as f64) as usize);
@@ -137,8 +137,8 @@
         self.subset = Subset { members, local_count, basis };
     }
 
-    /// Examines servers in random order, preferred ones first, until two are admitted. If only one is admitted, the
-    /// pair consists of that server twice.
+    /// Examines servers in random order, preferred ones first, until two are admitted. If only one is
+    /// admitted, the pair consists of that server twice.
     pub(crate) fn draw_pair(
         &mut self,
         pending: &PendingRequest,
@@ -166,9 +166,10 @@
         None
     }
 
-    /// The rate at which this sidecar may send to a server. A cold server's limit is a multiple of its current
-    /// capacity and holds for all sidecars together, so this one uses its share: the capacity that its successful
-    /// responses take up, divided by the size of its subset. Before any report, the fleet counts as fully utilised.
+    /// The rate at which this sidecar may send to a server. A cold server's limit is a multiple of its
+    /// current capacity and holds for all sidecars together, so this one uses its share: the capacity that
+    /// its successful responses take up, divided by the size of its subset. Without a recent report, the
+    /// fleet is assumed to be fully utilised.
     pub(crate) fn cold_start_rate_per_s(&self, machine_type: MachineTypeId, capacity_fraction: f64) -> f64 {
         if capacity_fraction >= 1.0 {
             return f64::INFINITY;
@@ -198,10 +199,11 @@
 
     /// Whether a server may be sent this request under its cold-start limit.
     ///
-    /// A sidecar's share of the limit can be far below one request per warm-up, so that a whole token would never
-    /// accumulate. A first attempt may therefore overdraw the bucket by one request, and a cold server takes part
-    /// only in a random fraction of the selections, which keeps the expected rate within the limit. A retry within a
-    /// deduplication scope needs a whole token: such retries concentrate on few servers.
+    /// A sidecar's share of the limit can be far below one request per warm-up, so that a whole token would
+    /// never accumulate. A first attempt may therefore overdraw the bucket by one request, and a cold server
+    /// takes part only in a random fraction of the selections, which keeps the expected rate within the
+    /// limit. A retry after an attempt that may have run needs a whole token, because the deduplication scope
+    /// concentrates such retries on few servers.
     pub(crate) fn admits(
         &self,
         candidate: &Candidate,
@@ -234,8 +236,8 @@
             < COLD_START_RANDOM_FRACTION * candidate.cold_start_rate_per_s
     }
 
-    /// Tokens that each request adds to the probe budget. Probes cost this sidecar its own, so the budget of the
-    /// fleet is the sum of all of them.
+    /// Tokens that each request adds to the probe budget. They limit the cost of probes if responses carry
+    /// load reports as well; otherwise each request fills the bucket.
     pub(crate) fn probe_refill(&self) -> f64 {
         if self.settings.reports_in_responses && self.settings.probe_cost > 0.0 {
             PROBE_COST_FRACTION / self.settings.probe_cost
--- a/tests/unit/incremental.rs
+++ b/tests/unit/incremental.rs
@@ -1,5 +1,6 @@
-//! Compares incrementally updated state with a recomputation from scratch: the totals over the servers, the rings and
-//! the subset. Also compares the random selection, which examines few servers, with all servers that are allowed.
+//! Compares incrementally updated state with a recomputation from scratch: the totals over the servers, the
+//! rings and the subset. Also compares the random selection, which examines few servers, with all servers
+//! that are allowed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,7 +75,7 @@
     AdvanceMs(u16),
     /// A request of this class arrives.
     Arrive(u8),
-    /// An attempt in flight ends with an outcome and perhaps a report of in-flight count and utilisation in percent.
+    /// An attempt ends with an outcome and perhaps a report of in-flight count and utilisation in percent.
     Finish(u16, u8, Option<(u8, u8)>),
     /// A probe of a server returns an in-flight count and a utilisation in percent.
     Probe(u8, u8, u8),
@@ -113,6 +114,20 @@
 }
 
 impl Harness {
+    /// Starts with 50 serving servers.
+    fn new(sidecar_count: u32, zone_crossing_cost: f64, seed: u64) -> Harness {
+        let mut harness = Harness {
+            balancer: Balancer::new(settings(sidecar_count, zone_crossing_cost), seed),
+            now: 1_000.0,
+            last_request_id: 0,
+            in_flight: Vec::new(),
+            attempt_counts: BTreeMap::new(),
+        };
+        let all: Vec<RecordInput> = (0..50).map(|id| RecordInput::new(id, 0, true, false)).collect();
+        harness.step(&Step::Snapshot(all));
+        harness
+    }
+
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -318,7 +333,7 @@
         }
     }
 
-    /// Whether the cold-start limit admits a candidate; its pick probability follows from all candidates with room.
+    /// Whether the cold-start limit admits a candidate, from the probability of a pick among all with room.
     fn is_admitted(
         &self,
         candidate: &Candidate,
@@ -347,7 +362,7 @@
                 < 0.6 * candidate.cold_start_rate_per_s
     }
 
-    /// Checks the selection for a new request and for a retry of each class after a failure at the first server.
+    /// Checks the selection for a new request and, per class, a retry after a failure at the first server.
     fn check_selections(&mut self) {
         let now = self.balancer.now;
         let mut requests = vec![PendingRequest::new(ClassId(0), TenantId(0), now, 500.0)];
@@ -412,20 +427,6 @@
     LoadReport { in_flight: Some(f64::from(in_flight)), utilisation, ..LoadReport::default() }
 }
 
-/// A balancer with 50 serving servers.
-fn harness(sidecar_count: u32, zone_crossing_cost: f64, seed: u64) -> Harness {
-    let mut harness = Harness {
-        balancer: Balancer::new(settings(sidecar_count, zone_crossing_cost), seed),
-        now: 1_000.0,
-        last_request_id: 0,
-        in_flight: Vec::new(),
-        attempt_counts: BTreeMap::new(),
-    };
-    let all: Vec<RecordInput> = (0..50).map(|id| RecordInput::new(id, 0, true, false)).collect();
-    harness.step(&Step::Snapshot(all));
-    harness
-}
-
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 96,
@@ -442,15 +443,15 @@
     ) {
         let (sidecar_count, zone_crossing_cost) =
             (if few_sidecars { 2 } else { 100 }, if crossing_costs { 0.03 } else { 0.0 });
-        let mut harness = harness(sidecar_count, zone_crossing_cost, 7);
+        let mut harness = Harness::new(sidecar_count, zone_crossing_cost, 7);
         steps.iter().for_each(|step| harness.step(step));
     }
 }
 
-/// Guards against counting or expiring a server twice that reports, restarts and reports again at the same time.
+/// Guards against counting a server twice that reports, restarts and reports again at the same time.
 #[test]
 fn restart_and_second_report_at_the_same_time_count_once() {
-    let mut harness = harness(100, 0.0, 3);
+    let mut harness = Harness::new(100, 0.0, 3);
     harness.step(&Step::Probe(5, 10, 50));
     harness.step(&Step::Delta(vec![RecordInput::new(5, 0, true, true)]));
     harness.step(&Step::Probe(5, 10, 50));
@@ -462,7 +463,7 @@
 /// Guards against a subset that keeps its size in ejected servers until the next periodic refresh.
 #[test]
 fn ejection_refreshes_subset_immediately() {
-    let mut harness = harness(100, 0.0, 5);
+    let mut harness = Harness::new(100, 0.0, 5);
     let now = harness.balancer.now;
     for id in harness.expected_subset() {
         let ejected = Health::Ejected { until: now + 1_000.0, duration: 1_000.0 };
@@ -476,7 +477,7 @@
 #[test]
 fn pairs_are_drawn_uniformly() {
     const DRAWS_PER_PAIR: u32 = 400;
-    let mut harness = harness(2, 0.0, 11);
+    let mut harness = Harness::new(2, 0.0, 11);
     // Every third of the twelve servers is draining.
     let records: Vec<RecordInput> = (0..12).map(|id| RecordInput::new(id, 0, id % 3 > 0, false)).collect();
     harness.step(&Step::Snapshot(records));
