--- a/tests/ejection_and_admission.rs
+++ b/tests/ejection_and_admission.rs
@@ -201,7 +201,7 @@
     harness.report_steady_load(&[1, 2], 4.0, 1.0);
     for number in 0..2_000_u64 {
         harness.now += 5.0;
-        // The in-flight count of both servers varies around 17 at an estimated capacity of 4.
+        // The in-flight count of both servers varies around 17; they process 4 requests concurrently.
         let in_flight = 9.0 + (number % 16) as f64;
         for id in [1, 2] {
             harness.report(id, in_flight, 1.0);
