--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -111,7 +111,7 @@
     let mut attempt = 0;
     let mut resent_to = None;
     for id in [1, 2, 3, 11, 12, 13, 21, 22, 23] {
-        // The module ignores outcomes from servers other than the one that the attempt was sent to.
+        // The outcome ends attempt 0 of the request, whichever server it names.
         harness.now = 1_200.0;
         let actions = harness.finish(request, 0, UpstreamId(id), Outcome::Error, 200.0);
         if let Some(next) = sent_to(&actions) {
