--- a/benches/hollow/main.rs
+++ b/benches/hollow/main.rs
@@ -1,185 +1,206 @@
-//! Hollow processes: thousands of modules on a virtual clock, and hundreds of real sidecars that only watch.
+//! Load of a large fleet on discovery and on cold servers: thousands of decision modules in a discrete-event
+//! simulation, and hundreds of real sidecar processes that watch discovery and carry hardly any requests.
 
-mod figures;
 mod processes;
-mod stage;
+mod report;
+mod simulation;
 
 use std::time::Instant;
 
 use clap::Parser;
-use figures::Report;
+use report::Report;
 use sagemast::api::{ColdStartLimits, DiscoveryMode};
-use stage::{Plan, Stage, Trouble};
+use simulation::{Fault, Scenario, Simulation};
 
-/// Plays a hollow fleet and prints what it does to discovery and to cold servers.
+/// Runs fleet scenarios and prints their load on discovery and on cold servers.
 #[derive(Parser)]
 struct Args {
-    /// Ticket servers where a sidecar lists what it calls.
+    /// Servers in scenarios where a sidecar lists only the services that it calls.
     #[arg(long, default_value_t = 4_600)]
     servers: usize,
-    /// Sidecars there.
+    /// Sidecars in the same scenarios.
     #[arg(long, default_value_t = 4_600)]
     sidecars: usize,
-    /// Services.
+    /// Services in the same scenarios.
     #[arg(long, default_value_t = 430)]
     services: usize,
-    /// Services that a sidecar calls, and lists.
+    /// Services that each sidecar calls and lists.
     #[arg(long, default_value_t = 5)]
     calls: usize,
-    /// Servers, and as many sidecars, where every sidecar lists all.
+    /// Servers, and also sidecars, in scenarios where every sidecar lists all servers.
     #[arg(long, default_value_t = 460)]
     all: usize,
-    /// Requests a second over all sidecars, in the plays at full rate.
+    /// Requests per second over the whole fleet in the full-rate scenarios.
     #[arg(long, default_value_t = 400_000.0)]
     rate: f64,
-    /// These are played on one part of so many of the fleet: its services, servers, sidecars and requests.
+    /// Divides the services, servers, sidecars and requests of the full-rate scenarios.
     #[arg(long, default_value_t = 10)]
     part: usize,
-    /// Requests a second in the other plays.
+    /// Requests per second over the whole fleet in the other scenarios.
     #[arg(long, default_value_t = 2_000.0)]
     trickle: f64,
-    /// Where the module asks for lists: it must do so at least this often, in milliseconds.
+    /// In subscribe mode, the longest time in milliseconds until the module must subscribe.
     #[arg(long, default_value_t = 2_000.0)]
     must_ask_in: f64,
-    /// Real sidecars, one process each.
+    /// Real sidecar processes.
     #[arg(long, default_value_t = 300)]
     processes: usize,
-    /// Servers that each of them lists.
+    /// Servers that each real sidecar lists.
     #[arg(long, default_value_t = 53)]
     listed: usize,
-    /// For all that is drawn.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Plays only those whose names hold this.
+    /// Runs only scenarios whose names contain this.
     #[arg(long, default_value = "")]
     only: String,
-    /// Writes the figures here as JSON, too.
+    /// Also writes the reports to this file as JSON.
     #[arg(long)]
     json: Option<std::path::PathBuf>,
-    /// Given by `cargo bench`.
+    /// Passed by `cargo bench`.
     #[arg(long, hide = true)]
     bench: bool,
 }
 
-fn plans(args: &Args) -> Vec<Plan> {
-    let asked = DiscoveryMode::Subscribe { subscribe_within: args.must_ask_in };
-    let base = Plan {
+fn scenarios(args: &Args) -> Vec<Scenario> {
+    let subscribe = DiscoveryMode::Subscribe { subscribe_within: args.must_ask_in };
+    let base = Scenario {
         name: String::new(),
         seed: args.seed,
         servers: args.servers,
         sidecars: args.sidecars,
         services: args.services,
-        calls: args.calls,
+        services_per_sidecar: args.calls,
         zones: 20,
         regions: 6,
         requests_per_s: args.trickle,
-        load: 0.6,
-        span: 64_000,
-        during: [2_000, 50_000],
+        offered_load: 0.6,
+        duration_ms: 64_000,
+        activity_start_ms: 2_000,
+        activity_end_ms: 50_000,
         changes: 200,
         discovery: DiscoveryMode::Push,
         shared_versions: true,
-        history: 1_024,
+        delta_history: 1_024,
         cold_start: ColdStartLimits {
             initial_capacity_fraction: 0.16,
             warm_up: 21_000.0,
             overload_multiple: 2.5,
             overload_duration: 1_500.0,
         },
-        starts_told: true,
-        drain_grace: 2_000.0,
-        trouble: Trouble::None,
+        list_start_times: true,
+        drain_grace_ms: 2_000.0,
+        fault: Fault::None,
     };
-    let all = Plan { servers: args.all, sidecars: args.all, calls: 0, changes: 20, ..base.clone() };
-    let modes = [("pushed", DiscoveryMode::Push), ("asked", asked)];
-    let mut plans = Vec::new();
-    let mut add = |name: String, plan: Plan| plans.push(Plan { name, ..plan });
+    let full_list = Scenario {
+        servers: args.all,
+        sidecars: args.all,
+        services_per_sidecar: 0,
+        changes: 20,
+        ..base.clone()
+    };
+    let modes = [("pushed", DiscoveryMode::Push), ("asked", subscribe)];
+    let mut scenarios = Vec::new();
+    let mut add = |name: String, scenario: Scenario| scenarios.push(Scenario { name, ..scenario });
     for (mode, discovery) in modes {
-        let base = Plan { discovery, ..base.clone() };
-        let all = Plan { discovery, ..all.clone() };
+        let base = Scenario { discovery, ..base.clone() };
+        let full_list = Scenario { discovery, ..full_list.clone() };
         add(format!("changes, {mode}"), base.clone());
-        add(format!("changes, {mode}, all listed"), all.clone());
+        add(format!("changes, {mode}, all listed"), full_list.clone());
         for (how, silent) in [("reset", false), ("silent", true)] {
-            let trouble = Trouble::Machine { at: 25_000, silent };
-            add(format!("machine {how}, {mode}"), Plan { trouble, ..base.clone() });
-            add(format!("machine {how}, {mode}, all listed"), Plan { trouble, ..all.clone() });
-            let apart = Plan { shared_versions: false, trouble, ..base.clone() };
-            add(format!("machine {how}, {mode}, versions apart"), apart);
+            let fault = Fault::DiscoveryNodeLoss { start_ms: 25_000, silent };
+            add(format!("machine {how}, {mode}"), Scenario { fault, ..base.clone() });
+            add(format!("machine {how}, {mode}, all listed"), Scenario { fault, ..full_list.clone() });
+            let separate_versions = Scenario { shared_versions: false, fault, ..base.clone() };
+            add(format!("machine {how}, {mode}, versions apart"), separate_versions);
         }
-        let hour = 3_600_000;
-        let trouble = Trouble::Cut { at: 10_000, heal: 10_000 + hour };
-        let cut = Plan {
-            span: hour + 30_000,
-            during: [10_000, hour + 10_000],
-            // A day's 11,000, in an hour.
+        let hour_ms = 3_600_000;
+        let fault = Fault::RegionPartition { start_ms: 10_000, end_ms: 10_000 + hour_ms };
+        let partition = Scenario {
+            duration_ms: hour_ms + 30_000,
+            activity_start_ms: 10_000,
+            activity_end_ms: hour_ms + 10_000,
+            // One hour's share of 11,000 changes per day.
             changes: 458,
             requests_per_s: (args.trickle / 20.0).max(1.0),
-            trouble,
+            fault,
             ..base.clone()
         };
-        add(format!("cut, {mode}"), cut.clone());
-        add(format!("cut, {mode}, short history"), Plan { history: 64, ..cut });
+        add(format!("cut, {mode}"), partition.clone());
+        add(format!("cut, {mode}, short history"), Scenario { delta_history: 64, ..partition });
     }
-    let trouble = Trouble::Zone { at: 3_000, back: 14_000 };
-    let zone = Plan { span: 40_000, during: [1_000, 30_000], changes: 20, trouble, ..base.clone() };
-    add("zone, pushed".to_owned(), zone.clone());
-    add("zone, asked".to_owned(), Plan { discovery: asked, ..zone });
-    // The rate of a sidecar in earnest, on a part of the fleet.
-    let part = |whole: usize| whole.div_ceil(args.part.max(1));
-    let brisk = Plan {
-        servers: part(args.servers),
-        sidecars: part(args.sidecars),
-        services: part(args.services),
+    let fault = Fault::ZoneOutage { start_ms: 3_000, end_ms: 14_000 };
+    let zone_outage = Scenario {
+        duration_ms: 40_000,
+        activity_start_ms: 1_000,
+        activity_end_ms: 30_000,
+        changes: 20,
+        fault,
+        ..base.clone()
+    };
+    add("zone, pushed".to_owned(), zone_outage.clone());
+    add("zone, asked".to_owned(), Scenario { discovery: subscribe, ..zone_outage });
+    // The planned request rate per sidecar, on a fraction of the fleet.
+    let scaled = |count: usize| count.div_ceil(args.part.max(1));
+    let full_rate = Scenario {
+        servers: scaled(args.servers),
+        sidecars: scaled(args.sidecars),
+        services: scaled(args.services),
         requests_per_s: args.rate / args.part.max(1) as f64,
         ..base
     };
     add(
         "cut, full rate".to_owned(),
-        Plan {
-            span: 40_000,
-            during: [2_000, 32_000],
+        Scenario {
+            duration_ms: 40_000,
+            activity_start_ms: 2_000,
+            activity_end_ms: 32_000,
             changes: 20,
-            trouble: Trouble::Cut { at: 7_000, heal: 27_000 },
-            ..brisk.clone()
+            fault: Fault::RegionPartition { start_ms: 7_000, end_ms: 27_000 },
+            ..full_rate.clone()
         },
     );
-    // Only the time round the return is played: it is then that a cold server can do the least.
-    let cold = Plan {
-        span: 19_000,
-        during: [8_000, 17_000],
+    // Covers only the time around the restart, when cold servers have the least capacity.
+    let cold_restart = Scenario {
+        duration_ms: 19_000,
+        activity_start_ms: 8_000,
+        activity_end_ms: 17_000,
         changes: 0,
-        trouble: Trouble::Zone { at: 500, back: 10_000 },
-        ..brisk
+        fault: Fault::ZoneOutage { start_ms: 500, end_ms: 10_000 },
+        ..full_rate
     };
-    add("zone cold, full rate".to_owned(), cold.clone());
-    add("zone cold, full rate, starts not told".to_owned(), Plan { starts_told: false, ..cold });
-    plans
+    add("zone cold, full rate".to_owned(), cold_restart.clone());
+    add(
+        "zone cold, full rate, starts not told".to_owned(),
+        Scenario { list_start_times: false, ..cold_restart },
+    );
+    scenarios
 }
 
-/// One line a figure, one column a play, some plays side by side.
-fn table(reports: &[&Report]) {
-    for some in reports.chunks(4) {
+/// Prints the reports as tables with one row per value and one column per scenario.
+fn print_tables(reports: &[&Report]) {
+    for group in reports.chunks(4) {
         let width = 24;
         print!("{:62}", "");
-        some.iter().for_each(|report| print!(" {:>width$}", shorten(&report.name, width)));
+        group.iter().for_each(|report| print!(" {:>width$}", column_heading(&report.name, width)));
         println!();
-        // A figure that one play has and another has not keeps its place.
+        // Values that only some of the scenarios have keep their position.
         let mut names: Vec<&str> = Vec::new();
-        for report in some {
-            let mut place = 0;
-            for (name, _) in &report.figures {
-                place = names.iter().position(|known| known == name).unwrap_or_else(|| {
-                    names.insert(place, name);
-                    place
+        for report in group {
+            let mut position = 0;
+            for (name, _) in &report.values {
+                position = names.iter().position(|known| known == name).unwrap_or_else(|| {
+                    names.insert(position, name);
+                    position
                 }) + 1;
             }
         }
         for name in names {
             print!("{name:62}");
-            for report in some {
-                let value = report.get(name);
-                let shown = if value.is_nan() { "-".to_owned() } else { value.to_string() };
-                print!(" {shown:>width$}");
+            for report in group {
+                let value = report.value(name);
+                let text = if value.is_nan() { "-".to_owned() } else { value.to_string() };
+                print!(" {text:>width$}");
             }
             println!();
         }
@@ -187,33 +208,33 @@
     }
 }
 
-fn shorten(name: &str, width: usize) -> String {
+fn column_heading(name: &str, width: usize) -> String {
     name.replace(", ", ",").chars().take(width).collect()
 }
 
 fn main() -> std::io::Result<()> {
     let args = Args::parse();
     let mut reports = Vec::new();
-    for plan in plans(&args).into_iter().filter(|plan| plan.name.contains(&args.only)) {
-        let began = Instant::now();
-        let report = Stage::new(plan).play();
-        eprintln!("{}: {:.1} s", report.name, began.elapsed().as_secs_f64());
+    for scenario in scenarios(&args).into_iter().filter(|scenario| scenario.name.contains(&args.only)) {
+        let started = Instant::now();
+        let report = Simulation::new(scenario).run();
+        eprintln!("{}: {:.1} s", report.name, started.elapsed().as_secs_f64());
         reports.push(report);
     }
-    for (name, asked) in [("processes, pushed", false), ("processes, asked", true)] {
+    for (name, subscribe) in [("processes, pushed", false), ("processes, asked", true)] {
         if name.contains(&args.only) {
-            let began = Instant::now();
-            reports.push(processes::play(name, args.processes, args.listed, asked)?);
-            eprintln!("{name}: {:.1} s", began.elapsed().as_secs_f64());
+            let started = Instant::now();
+            reports.push(processes::run(name, args.processes, args.listed, subscribe)?);
+            eprintln!("{name}: {:.1} s", started.elapsed().as_secs_f64());
         }
     }
-    let (real, hollow): (Vec<&Report>, Vec<&Report>) =
+    let (process_reports, simulation_reports): (Vec<&Report>, Vec<&Report>) =
         reports.iter().partition(|report| report.name.starts_with("processes"));
-    table(&hollow);
-    table(&real);
+    print_tables(&simulation_reports);
+    print_tables(&process_reports);
     if let Some(path) = &args.json {
-        let all: Vec<serde_json::Value> = reports.iter().map(Report::json).collect();
-        std::fs::write(path, serde_json::to_string_pretty(&all).map_err(std::io::Error::other)?)?;
+        let json: Vec<serde_json::Value> = reports.iter().map(Report::to_json).collect();
+        std::fs::write(path, serde_json::to_string_pretty(&json).map_err(std::io::Error::other)?)?;
     }
     Ok(())
 }
--- a/benches/hollow/processes.rs
+++ b/benches/hollow/processes.rs
@@ -1,5 +1,5 @@
-//! Hundreds of real sidecars, one process each, that watch one stand-in for discovery over loopback. What they take
-//! in is seen from outside: a sidecar closes its idle connections to a server that it has been told drains.
+//! Runs with hundreds of real sidecar processes that watch one stub of discovery over loopback. When a sidecar has
+//! applied a change is observed from outside: it closes its idle connections to a server that starts to drain.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -15,62 +15,65 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::figures::{Calls, Report, Spread};
-
-/// An empty line comes this often (the protocol page).
-const LINE_EVERY: Duration = Duration::from_secs(2);
-/// How long the fleet is watched while nothing happens.
-const IDLE: Duration = Duration::from_secs(15);
-/// And after each trouble: longer than two silences.
-const AFTER: Duration = Duration::from_secs(8);
-/// Nothing here takes longer than this unless it never comes.
-const LONGEST: Duration = Duration::from_secs(60);
-/// Changes that are told one by one.
-const CHANGES: usize = 8;
-/// Sidecars that are started, or asked, at a time: the machine is shared.
-const AT_A_TIME: usize = 20;
-/// How long discovery is down.
-const DOWN: Duration = Duration::from_secs(5);
-
-/// What the stand-in does with its watches.
+use crate::report::{BinnedCounts, Distribution, Report};
+
+/// Interval of the keep-alive lines on an open watch.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How long the idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(15);
+/// How long each fault is observed: longer than two watch timeouts.
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(8);
+/// Time within which a sidecar must log its listening address.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of single changes that are measured without a fault.
+const CHANGE_COUNT: usize = 8;
+/// Sidecars to which requests are sent without a pause, which limits the load on a shared machine.
+const REQUEST_BATCH: usize = 20;
+/// How long discovery is down in the outage scenarios.
+const OUTAGE_DURATION: Duration = Duration::from_secs(5);
+
+/// How the discovery stub treats calls and watches.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Mood {
-    /// Tells what there is.
-    Well,
-    /// Watches of an earlier turn say nothing more; new ones are served.
-    Mute,
-    /// Nobody is answered; open watches say nothing.
+enum StubMode {
+    /// Serves all calls and the watches of the current generation.
+    Serving,
+    /// Keeps watches of earlier generations open but silent; serves new ones.
+    OldWatchesSilent,
+    /// Answers no call and sends nothing on open watches.
     Down,
 }
 
-/// What all watches follow.
+/// The state of the discovery stub, which all its watches follow.
 #[derive(Debug, Clone)]
-struct State {
-    mood: Mood,
-    /// Watches of an earlier turn are reset or mute.
-    turn: u64,
-    reset: bool,
+struct StubState {
+    mode: StubMode,
+    /// Raised by each fault. Watches that were opened in an earlier generation are reset or silent.
+    generation: u64,
+    reset_old_watches: bool,
+    /// The version of the host list.
     seq: u64,
-    /// The last change, as a line.
-    change: Arc<str>,
-    /// The whole list, as a line.
-    whole: Arc<str>,
+    /// The latest change as a JSON line.
+    latest_delta: Arc<str>,
+    /// The complete list as a JSON line.
+    snapshot: Arc<str>,
 }
 
+/// What the stubs have observed.
 #[derive(Default)]
-struct Seen {
-    calls: Vec<(Instant, u64)>,
-    whole: u64,
+struct Observations {
+    discovery_calls: Vec<Instant>,
+    snapshots: u64,
     deltas: u64,
+    /// Bytes written on watches.
     bytes: u64,
-    /// Idle connections that sidecars have closed, by the server's number.
-    closed: HashMap<usize, Vec<Instant>>,
+    /// When sidecars closed connections, by server number.
+    connections_closed: HashMap<usize, Vec<Instant>>,
 }
 
-type Shared = Arc<Mutex<Seen>>;
+type SharedObservations = Arc<Mutex<Observations>>;
 
-fn lock(seen: &Mutex<Seen>) -> MutexGuard<'_, Seen> {
-    seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(observations: &Mutex<Observations>) -> MutexGuard<'_, Observations> {
+    observations.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 async fn bind() -> io::Result<(TcpListener, SocketAddr)> {
@@ -79,157 +82,173 @@
     Ok((listener, address))
 }
 
-/// A head up to its empty line; `None` at the end of the connection.
-async fn head(reader: &mut (impl AsyncBufReadExt + Unpin)) -> Option<String> {
-    let mut text = String::new();
+/// Reads an HTTP head up to its empty line; `None` at the end of the connection.
+async fn read_head(reader: &mut (impl AsyncBufReadExt + Unpin)) -> Option<String> {
+    let mut head = String::new();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).await.ok().filter(|read| *read > 0)?;
         if line.trim_end().is_empty() {
-            return Some(text);
+            return Some(head);
         }
-        text.push_str(&line);
+        head.push_str(&line);
     }
 }
 
-async fn discovery(listener: TcpListener, state: watch::Receiver<State>, seen: Shared) {
+/// The discovery stub.
+async fn serve_discovery(
+    listener: TcpListener,
+    state: watch::Receiver<StubState>,
+    observations: SharedObservations,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (state, seen) = (state.clone(), seen.clone());
+        let (state, observations) = (state.clone(), observations.clone());
         tokio::spawn(async move {
-            let _ = watched(stream, state, seen).await;
+            let _ = serve_watch(stream, state, observations).await;
         });
     }
 }
 
-/// One watch, for as long as the other side or the play lets it be.
-async fn watched(stream: TcpStream, mut state: watch::Receiver<State>, seen: Shared) -> io::Result<()> {
-    let (reading, mut writing) = stream.into_split();
-    let mut reader = BufReader::new(reading);
-    let Some(request) = head(&mut reader).await else { return Ok(()) };
-    let from =
+/// Serves one watch until the client closes it or a fault resets it.
+async fn serve_watch(
+    stream: TcpStream,
+    mut state: watch::Receiver<StubState>,
+    observations: SharedObservations,
+) -> io::Result<()> {
+    let (read_half, mut writer) = stream.into_split();
+    let mut reader = BufReader::new(read_half);
+    let Some(request) = read_head(&mut reader).await else { return Ok(()) };
+    let from_seq =
         request.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap_or(0);
-    lock(&seen).calls.push((Instant::now(), from));
-    // The other side says no more: whatever comes is its end.
-    let gone = async move {
+    lock(&observations).discovery_calls.push(Instant::now());
+    // The client sends nothing after its request, so the next read ends with the connection.
+    let client_closed = async move {
         let _ = reader.read_u8().await;
     };
-    let telling = async {
-        // While discovery is down it says nothing, and answers what has waited when it is back.
-        let mut now =
-            state.wait_for(|state| state.mood != Mood::Down).await.map_err(io::Error::other)?.clone();
-        let turn = now.turn;
-        writing.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut told = from;
-        // Who has not even the version before gets all of it.
-        if told + 1 < now.seq || told == 0 {
-            lock(&seen).whole += 1;
-            chunk(&mut writing, &now.whole, &seen).await?;
-        } else if told < now.seq {
-            lock(&seen).deltas += 1;
-            chunk(&mut writing, &now.change, &seen).await?;
+    let send_updates = async {
+        // Calls that arrive while discovery is down are answered when it is back.
+        let mut current =
+            state.wait_for(|state| state.mode != StubMode::Down).await.map_err(io::Error::other)?.clone();
+        let generation = current.generation;
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        let mut sent_seq = from_seq;
+        // Only the latest delta is kept: a client that missed more than one change gets a snapshot.
+        if sent_seq + 1 < current.seq || sent_seq == 0 {
+            lock(&observations).snapshots += 1;
+            write_chunk(&mut writer, &current.snapshot, &observations).await?;
+        } else if sent_seq < current.seq {
+            lock(&observations).deltas += 1;
+            write_chunk(&mut writer, &current.latest_delta, &observations).await?;
         }
-        told = now.seq;
+        sent_seq = current.seq;
         loop {
-            let changed = tokio::time::timeout(LINE_EVERY, state.changed()).await;
-            now = state.borrow_and_update().clone();
-            if now.turn > turn && now.reset {
+            let changed = tokio::time::timeout(KEEPALIVE_INTERVAL, state.changed()).await;
+            current = state.borrow_and_update().clone();
+            if current.generation > generation && current.reset_old_watches {
                 return Ok(());
             }
-            if now.turn > turn || now.mood == Mood::Down {
+            if current.generation > generation || current.mode == StubMode::Down {
                 std::future::pending::<()>().await;
             }
             match changed {
-                Err(_) => chunk(&mut writing, "\n", &seen).await?,
+                Err(_) => write_chunk(&mut writer, "\n", &observations).await?,
                 Ok(Err(_)) => return Ok(()),
-                Ok(Ok(())) if now.seq > told => {
-                    told = now.seq;
-                    lock(&seen).deltas += 1;
-                    chunk(&mut writing, &now.change, &seen).await?;
+                Ok(Ok(())) if current.seq > sent_seq => {
+                    sent_seq = current.seq;
+                    lock(&observations).deltas += 1;
+                    write_chunk(&mut writer, &current.latest_delta, &observations).await?;
                 }
                 Ok(Ok(())) => {}
             }
         }
     };
     tokio::select! {
-        () = gone => Ok(()),
-        ended = telling => ended,
+        () = client_closed => Ok(()),
+        result = send_updates => result,
     }
 }
 
-async fn chunk(to: &mut (impl AsyncWriteExt + Unpin), text: &str, seen: &Shared) -> io::Result<()> {
-    let framed = format!("{:x}\r\n{text}\r\n", text.len());
-    lock(seen).bytes += framed.len() as u64;
-    to.write_all(framed.as_bytes()).await
+async fn write_chunk(
+    writer: &mut (impl AsyncWriteExt + Unpin),
+    text: &str,
+    observations: &SharedObservations,
+) -> io::Result<()> {
+    let chunk = format!("{:x}\r\n{text}\r\n", text.len());
+    lock(observations).bytes += chunk.len() as u64;
+    writer.write_all(chunk.as_bytes()).await
 }
 
-/// A ticket server that answers at once and notes when its connections are closed.
-async fn server(listener: TcpListener, number: usize, seen: Shared) {
+/// A stub server that answers at once and records when its connections are closed.
+async fn serve_requests(listener: TcpListener, number: usize, observations: SharedObservations) {
     while let Ok((stream, _)) = listener.accept().await {
-        let seen = seen.clone();
+        let observations = observations.clone();
         tokio::spawn(async move {
-            let (reading, mut writing) = stream.into_split();
-            let mut reader = BufReader::new(reading);
-            while head(&mut reader).await.is_some() {
-                let answer = b"HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=0, eps=0, util=0.1\r\nContent-Length: 2\r\n\r\nok";
-                if writing.write_all(answer).await.is_err() {
+            let (read_half, mut writer) = stream.into_split();
+            let mut reader = BufReader::new(read_half);
+            while read_head(&mut reader).await.is_some() {
+                let response = b"HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=0, eps=0, util=0.1\r\nContent-Length: 2\r\n\r\nok";
+                if writer.write_all(response).await.is_err() {
                     break;
                 }
             }
-            lock(&seen).closed.entry(number).or_default().push(Instant::now());
+            lock(&observations).connections_closed.entry(number).or_default().push(Instant::now());
         });
     }
 }
 
-/// A sidecar's process; it ends with this.
+/// A running sidecar process, killed on drop.
 struct Sidecar {
     child: Child,
     address: SocketAddr,
-    files: [PathBuf; 2],
+    config_file: PathBuf,
+    log_file: PathBuf,
 }
 
 impl Drop for Sidecar {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.files.iter().for_each(|file| drop(std::fs::remove_file(file)));
+        let _ = std::fs::remove_file(&self.config_file);
+        let _ = std::fs::remove_file(&self.log_file);
     }
 }
 
 impl Sidecar {
+    /// Starts a sidecar and waits until it listens. `known` is the host list in its configuration.
     async fn start(
         number: usize,
         count: usize,
         discovery: SocketAddr,
         known: &str,
-        asked: bool,
+        subscribe: bool,
     ) -> io::Result<Sidecar> {
         let stem =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hollow-{}-{number}", std::process::id()));
-        let files = [stem.with_extension("json"), stem.with_extension("log")];
-        std::fs::write(&files[0], config(number, count, discovery, known, asked))?;
+        let (config_file, log_file) = (stem.with_extension("json"), stem.with_extension("log"));
+        std::fs::write(&config_file, configuration(number, count, discovery, known, subscribe))?;
         let child = Command::new(env!("CARGO_BIN_EXE_sagemast"))
-            .env("ROUTER_CONFIG", &files[0])
+            .env("ROUTER_CONFIG", &config_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(std::fs::File::create(&files[1])?)
+            .stderr(std::fs::File::create(&log_file)?)
             .spawn()?;
-        let mut sidecar = Sidecar { child, address: discovery, files };
-        let began = Instant::now();
-        while began.elapsed() < LONGEST {
-            let log = std::fs::read_to_string(&sidecar.files[1])?;
-            if let Some(at) =
-                log.split_once("listening on ").and_then(|(_, at)| at.lines().next()?.parse().ok())
+        let mut sidecar = Sidecar { child, address: discovery, config_file, log_file };
+        let started = Instant::now();
+        while started.elapsed() < START_TIMEOUT {
+            let log = std::fs::read_to_string(&sidecar.log_file)?;
+            if let Some(address) =
+                log.split_once("listening on ").and_then(|(_, rest)| rest.lines().next()?.parse().ok())
             {
-                sidecar.address = at;
+                sidecar.address = address;
                 return Ok(sidecar);
             }
             sleep(Duration::from_millis(20)).await;
         }
-        Err(io::Error::other("it does not listen"))
+        Err(io::Error::other("sidecar did not log its listening address in time"))
     }
 
-    /// Processor time so far, in nanoseconds: the program has one thread.
-    fn processor_ns(&self) -> u64 {
+    /// CPU time so far, in nanoseconds. The sidecar has a single thread.
+    fn cpu_ns(&self) -> u64 {
         let text =
             std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id())).unwrap_or_default();
         text.split(' ').next().and_then(|first| first.parse().ok()).unwrap_or(0)
@@ -242,23 +261,23 @@
         line.trim().split(' ').next().and_then(|first| first.parse().ok()).unwrap_or(0)
     }
 
-    /// One request through it; whether it was served.
-    async fn ask(&self, id: u64) -> io::Result<bool> {
+    /// Sends one request through the sidecar. Returns whether it was served.
+    async fn send_request(&self, id: u64) -> io::Result<bool> {
         let mut stream = TcpStream::connect(self.address).await?;
         let request = format!(
             "GET /fetch?k=1 HTTP/1.1\r\nHost: api\r\nX-Request-ID: {id:016x}\r\nX-Priority-Class: fetch\r\n\
              X-Timeout-Ms: 8000\r\nConnection: close\r\n\r\n"
         );
         stream.write_all(request.as_bytes()).await?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await?;
-        Ok(answer.starts_with(b"HTTP/1.1 200"))
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).await?;
+        Ok(response.starts_with(b"HTTP/1.1 200"))
     }
 }
 
-/// A configuration file.
-fn config(number: usize, count: usize, discovery: SocketAddr, known: &str, asked: bool) -> String {
-    let mode = if asked { "subscribe" } else { "automatic" };
+/// The configuration file of a sidecar.
+fn configuration(number: usize, count: usize, discovery: SocketAddr, known: &str, subscribe: bool) -> String {
+    let mode = if subscribe { "subscribe" } else { "automatic" };
     format!(
         r#"{{"name":"n{number}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{number:x}",
 "limits":{{"cores":1.0,"memory_mb":128,"sockets":1024}},"known":{known},"settings":{{
@@ -270,219 +289,251 @@
     )
 }
 
-fn entry(host: &str, dial: SocketAddr, site: &str, health: &str) -> String {
+/// An entry of the host list.
+fn host_entry(host: &str, dial: SocketAddr, site: &str, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"{site}","class":"std","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// The fleet and its surroundings.
-struct Play {
+/// The sidecars and the stubs around them.
+struct Fleet {
     sidecars: Vec<Sidecar>,
-    state: watch::Sender<State>,
-    seen: Shared,
-    /// The two servers next to the sidecars; one of them is ready, the other drains.
-    near: [SocketAddr; 2],
-    ready: usize,
-    /// The servers that are further away, as text.
-    far: String,
-    asked: u64,
+    state: watch::Sender<StubState>,
+    observations: SharedObservations,
+    /// The two servers in the sidecars' zone. One of them is ready, the other drains.
+    local_servers: [SocketAddr; 2],
+    /// The index of the local server that is ready.
+    ready_index: usize,
+    /// The host list entries of the servers in the other zone, each with a leading comma.
+    remote_entries: String,
+    next_request_id: u64,
 }
 
-impl Play {
-    /// The list with one or the other near server ready.
-    fn whole(&self) -> String {
+impl Fleet {
+    /// The complete host list under the next version.
+    fn next_snapshot(&self) -> String {
         let mut text = format!(r#"{{"seq":{},"whole":true,"hosts":["#, self.state.borrow().seq + 1);
-        text.push_str(&self.near_entries().join(","));
-        text.push_str(&self.far);
+        text.push_str(&self.local_entries().join(","));
+        text.push_str(&self.remote_entries);
         text + "]}\n"
     }
 
-    fn near_entries(&self) -> [String; 2] {
-        let health = |number| if number == self.ready { "ready" } else { "draining" };
-        [0, 1].map(|number| entry(&format!("near-{number}"), self.near[number], "east", health(number)))
+    fn local_entries(&self) -> [String; 2] {
+        let health = |index| if index == self.ready_index { "ready" } else { "draining" };
+        [0, 1].map(|index| {
+            host_entry(&format!("near-{index}"), self.local_servers[index], "east", health(index))
+        })
     }
 
-    /// Has every sidecar open a connection to the near server that is ready.
-    async fn connect(&mut self) -> io::Result<usize> {
+    /// Makes every sidecar open a connection to the ready local server. Returns how many requests were served.
+    async fn open_connections(&mut self) -> io::Result<usize> {
         let mut served = 0;
-        for some in self.sidecars.chunks(AT_A_TIME) {
-            let ids = self.asked..self.asked + some.len() as u64;
-            self.asked = ids.end;
-            for (sidecar, id) in some.iter().zip(ids) {
-                served += usize::from(sidecar.ask(id).await?);
+        for batch in self.sidecars.chunks(REQUEST_BATCH) {
+            let ids = self.next_request_id..self.next_request_id + batch.len() as u64;
+            self.next_request_id = ids.end;
+            for (sidecar, id) in batch.iter().zip(ids) {
+                served += usize::from(sidecar.send_request(id).await?);
             }
             sleep(Duration::from_millis(10)).await;
         }
-        lock(&self.seen).closed.clear();
+        lock(&self.observations).connections_closed.clear();
         Ok(served)
     }
 
-    /// The near servers change places; tells when that was said.
-    fn change(&mut self) -> Instant {
-        self.ready = 1 - self.ready;
-        let (whole, entries) = (self.whole(), self.near_entries());
-        let at = Instant::now();
+    /// Publishes a change in which the local servers swap their health. Returns the time of publication.
+    fn swap_local_servers(&mut self) -> Instant {
+        self.ready_index = 1 - self.ready_index;
+        let (snapshot, entries) = (self.next_snapshot(), self.local_entries());
+        let published_at = Instant::now();
         self.state.send_modify(|state| {
             state.seq += 1;
-            state.change =
+            state.latest_delta =
                 format!("{{\"seq\":{},\"whole\":false,\"hosts\":[{}]}}\n", state.seq, entries.join(","))
                     .into();
-            state.whole = whole.into();
+            state.snapshot = snapshot.into();
         });
-        at
+        published_at
     }
 
-    /// Waits until all have closed their connections to the server that drains; how long each took.
-    async fn in_force(&self, since: Instant) -> Vec<Duration> {
-        let began = Instant::now();
-        while began.elapsed() < AFTER {
-            let closed = lock(&self.seen).closed.get(&(1 - self.ready)).map_or(0, Vec::len);
+    /// Waits until all sidecars have closed their connections to the draining local server, or the observation
+    /// period ends. Returns how long each of them took.
+    async fn await_propagation(&self, published_at: Instant) -> Vec<Duration> {
+        let started = Instant::now();
+        while started.elapsed() < OBSERVATION_PERIOD {
+            let closed =
+                lock(&self.observations).connections_closed.get(&(1 - self.ready_index)).map_or(0, Vec::len);
             if closed >= self.sidecars.len() {
                 break;
             }
             sleep(Duration::from_millis(20)).await;
         }
-        let seen = lock(&self.seen);
-        let closed = seen.closed.get(&(1 - self.ready)).into_iter().flatten();
-        closed.map(|at| at.saturating_duration_since(since)).collect()
+        let observations = lock(&self.observations);
+        let closed_at = observations.connections_closed.get(&(1 - self.ready_index)).into_iter().flatten();
+        closed_at.map(|at| at.saturating_duration_since(published_at)).collect()
     }
 
-    fn processor_ns(&self) -> u64 {
-        self.sidecars.iter().map(Sidecar::processor_ns).sum()
+    fn cpu_ns(&self) -> u64 {
+        self.sidecars.iter().map(Sidecar::cpu_ns).sum()
     }
 
-    fn bytes(&self) -> u64 {
-        lock(&self.seen).bytes
+    fn watch_bytes(&self) -> u64 {
+        lock(&self.observations).bytes
     }
 
-    /// A trouble, told of by what follows at the stand-in; a change comes in its midst.
-    async fn trouble(&mut self, name: &str, report: &mut Report, mood: Mood, reset: bool) -> io::Result<()> {
-        let connected = self.connect().await?;
-        let (whole, deltas, bytes) = {
-            let seen = lock(&self.seen);
-            (seen.whole, seen.deltas, seen.bytes)
+    /// Injects a fault into the discovery stub, publishes a change during it and reports its propagation.
+    async fn measure_fault(
+        &mut self,
+        name: &str,
+        report: &mut Report,
+        mode: StubMode,
+        reset_old_watches: bool,
+    ) -> io::Result<()> {
+        let connected = self.open_connections().await?;
+        let (snapshots_before, deltas_before, bytes_before) = {
+            let observations = lock(&self.observations);
+            (observations.snapshots, observations.deltas, observations.bytes)
         };
-        let at = Instant::now();
+        let fault_at = Instant::now();
         self.state.send_modify(|state| {
-            state.turn += 1;
-            (state.mood, state.reset) = (mood, reset);
+            state.generation += 1;
+            (state.mode, state.reset_old_watches) = (mode, reset_old_watches);
         });
-        let (mut back, mut said) = (at, self.change());
-        if mood == Mood::Down {
-            sleep(DOWN).await;
-            back = Instant::now();
-            said = back;
-            self.state.send_modify(|state| state.mood = Mood::Well);
+        let (mut back_at, mut published_at) = (fault_at, self.swap_local_servers());
+        if mode == StubMode::Down {
+            sleep(OUTAGE_DURATION).await;
+            back_at = Instant::now();
+            published_at = back_at;
+            self.state.send_modify(|state| state.mode = StubMode::Serving);
         }
-        let took = self.in_force(said).await;
-        sleep(AFTER.saturating_sub(said.elapsed())).await;
-        let mut spread = Spread::default();
-        took.iter().for_each(|took| spread.record(took.as_micros() as u64));
-        let seen = lock(&self.seen);
-        let since = |from: Instant| {
-            let mut calls = Calls::since(0);
-            for (called, _) in seen.calls.iter().filter(|(called, _)| *called >= from) {
-                calls.count((*called - from).as_micros() as u64, 1);
+        let delays = self.await_propagation(published_at).await;
+        sleep(OBSERVATION_PERIOD.saturating_sub(published_at.elapsed())).await;
+        let mut delay_distribution = Distribution::default();
+        delays.iter().for_each(|delay| delay_distribution.record(delay.as_micros() as u64));
+        let observations = lock(&self.observations);
+        let calls_since = |start: Instant| {
+            let mut calls = BinnedCounts::starting_at(0);
+            for called_at in observations.discovery_calls.iter().filter(|called_at| **called_at >= start) {
+                calls.add((*called_at - start).as_micros() as u64, 1);
             }
             calls
         };
-        report.put(&format!("{name}: connected before"), connected as f64);
-        report.calls(&format!("{name}: calls"), &since(at));
-        if mood == Mood::Down {
-            report.calls(&format!("{name}: calls after the return"), &since(back));
+        report.add_value(&format!("{name}: connected before"), connected as f64);
+        report.add_binned_counts(&format!("{name}: calls"), &calls_since(fault_at));
+        if mode == StubMode::Down {
+            report.add_binned_counts(&format!("{name}: calls after the return"), &calls_since(back_at));
         }
-        report.put(&format!("{name}: whole lists"), (seen.whole - whole) as f64);
-        report.put(&format!("{name}: deltas"), (seen.deltas - deltas) as f64);
-        report.put(&format!("{name}: bytes"), (seen.bytes - bytes) as f64);
-        report.spread(&format!("{name}: in force, ms"), &mut spread, 1e3);
+        report.add_value(&format!("{name}: whole lists"), (observations.snapshots - snapshots_before) as f64);
+        report.add_value(&format!("{name}: deltas"), (observations.deltas - deltas_before) as f64);
+        report.add_value(&format!("{name}: bytes"), (observations.bytes - bytes_before) as f64);
+        report.add_distribution(&format!("{name}: in force, ms"), &mut delay_distribution, 1e3);
         Ok(())
     }
 }
 
-/// Plays a fleet of so many real sidecars that list so many servers.
-pub fn play(name: &str, count: usize, servers: usize, asked: bool) -> io::Result<Report> {
+/// Runs `count` sidecars that list `servers` servers each and reports their load on discovery.
+pub fn run(name: &str, count: usize, servers: usize, subscribe: bool) -> io::Result<Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(run(name, count, servers, asked))
+    runtime.block_on(run_fleet(name, count, servers, subscribe))
 }
 
-async fn run(name: &str, count: usize, servers: usize, asked: bool) -> io::Result<Report> {
-    let seen = Shared::default();
-    let (listener, discovery_at) = bind().await?;
-    let (first, second, rest) = (bind().await?, bind().await?, bind().await?);
-    let near = [first.1, second.1];
-    let mut far = String::new();
+async fn run_fleet(name: &str, count: usize, servers: usize, subscribe: bool) -> io::Result<Report> {
+    let observations = SharedObservations::default();
+    let (discovery_listener, discovery_address) = bind().await?;
+    let (first_local, second_local, remote) = (bind().await?, bind().await?, bind().await?);
+    let local_servers = [first_local.1, second_local.1];
+    let mut remote_entries = String::new();
     for number in 2..servers {
-        let _ = write!(far, ",{}", entry(&format!("far-{number:05}"), rest.1, "west", "ready"));
+        let entry = host_entry(&format!("far-{number:05}"), remote.1, "west", "ready");
+        let _ = write!(remote_entries, ",{entry}");
     }
-    for (number, listener) in [first.0, second.0, rest.0].into_iter().enumerate() {
-        tokio::spawn(server(listener, number, seen.clone()));
+    for (number, listener) in [first_local.0, second_local.0, remote.0].into_iter().enumerate() {
+        tokio::spawn(serve_requests(listener, number, observations.clone()));
     }
     let empty: Arc<str> = "".into();
-    let state =
-        State { mood: Mood::Well, turn: 0, reset: false, seq: 4, change: empty.clone(), whole: empty };
-    let (state, states) = watch::channel(state);
-    let mut play = Play { sidecars: Vec::new(), state, seen: seen.clone(), near, ready: 0, far, asked: 0 };
-    let known = play.whole();
-    play.state.send_modify(|state| (state.seq, state.whole) = (5, known.clone().into()));
-    tokio::spawn(discovery(listener, states, seen.clone()));
-    let began = Instant::now();
+    let state = StubState {
+        mode: StubMode::Serving,
+        generation: 0,
+        reset_old_watches: false,
+        seq: 4,
+        latest_delta: empty.clone(),
+        snapshot: empty,
+    };
+    let (state, state_receiver) = watch::channel(state);
+    let mut fleet = Fleet {
+        sidecars: Vec::new(),
+        state,
+        observations: observations.clone(),
+        local_servers,
+        ready_index: 0,
+        remote_entries,
+        next_request_id: 0,
+    };
+    let known = fleet.next_snapshot();
+    fleet.state.send_modify(|state| (state.seq, state.snapshot) = (5, known.clone().into()));
+    tokio::spawn(serve_discovery(discovery_listener, state_receiver, observations.clone()));
+    let start = Instant::now();
     for number in 0..count {
-        play.sidecars.push(Sidecar::start(number, count, discovery_at, known.trim_end(), asked).await?);
+        let sidecar = Sidecar::start(number, count, discovery_address, known.trim_end(), subscribe).await?;
+        fleet.sidecars.push(sidecar);
     }
-    let started = began.elapsed();
+    let start_duration = start.elapsed();
     sleep(Duration::from_secs(3)).await;
-    let mut report = Report::named(name);
-    report.put("sidecars", count as f64);
-    report.put("servers listed", servers as f64);
-    report.put("started within, s", started.as_secs_f64());
-    report.put("calls at the start", lock(&seen).calls.len() as f64);
-
-    let (ns, bytes, at) = (play.processor_ns(), play.bytes(), Instant::now());
-    sleep(IDLE).await;
-    let each = count as f64 * at.elapsed().as_secs_f64();
-    let idle_ns_per_s = (play.processor_ns() - ns) as f64 / each;
-    let idle_bytes_per_s = (play.bytes() - bytes) as f64 / each;
-    report.put("idle: processor, us a second a sidecar", idle_ns_per_s / 1e3);
-    report.put("idle: bytes a second a sidecar", idle_bytes_per_s);
-
-    let (mut each_took, mut all_took) = (Spread::default(), Spread::default());
-    let (mut ns, mut bytes, mut seconds, mut unseen) = (0, 0, 0.0, 0);
-    for _ in 0..CHANGES {
-        play.connect().await?;
+    let mut report = Report::new(name);
+    report.add_value("sidecars", count as f64);
+    report.add_value("servers listed", servers as f64);
+    report.add_value("started within, s", start_duration.as_secs_f64());
+    report.add_value("calls at the start", lock(&observations).discovery_calls.len() as f64);
+
+    let (idle_cpu_ns, idle_bytes, idle_start) = (fleet.cpu_ns(), fleet.watch_bytes(), Instant::now());
+    sleep(IDLE_PERIOD).await;
+    let sidecar_seconds = count as f64 * idle_start.elapsed().as_secs_f64();
+    let idle_cpu_ns_per_s = (fleet.cpu_ns() - idle_cpu_ns) as f64 / sidecar_seconds;
+    let idle_bytes_per_s = (fleet.watch_bytes() - idle_bytes) as f64 / sidecar_seconds;
+    report.add_value("idle: processor, us a second a sidecar", idle_cpu_ns_per_s / 1e3);
+    report.add_value("idle: bytes a second a sidecar", idle_bytes_per_s);
+
+    let (mut sidecar_delays, mut fleet_delays) = (Distribution::default(), Distribution::default());
+    let (mut cpu_ns, mut bytes, mut seconds, mut not_observed) = (0, 0, 0.0, 0);
+    for _ in 0..CHANGE_COUNT {
+        fleet.open_connections().await?;
         sleep(Duration::from_millis(300)).await;
-        let (ns_before, bytes_before) = (play.processor_ns(), play.bytes());
-        let at = play.change();
-        let took = play.in_force(at).await;
+        let (cpu_ns_before, bytes_before) = (fleet.cpu_ns(), fleet.watch_bytes());
+        let published_at = fleet.swap_local_servers();
+        let delays = fleet.await_propagation(published_at).await;
         sleep(Duration::from_millis(200)).await;
-        ns += play.processor_ns() - ns_before;
-        bytes += play.bytes() - bytes_before;
-        seconds += at.elapsed().as_secs_f64();
-        unseen += count - took.len().min(count);
-        took.iter().for_each(|took| each_took.record(took.as_micros() as u64));
-        all_took.record(took.iter().max().map_or(0, Duration::as_micros) as u64);
+        cpu_ns += fleet.cpu_ns() - cpu_ns_before;
+        bytes += fleet.watch_bytes() - bytes_before;
+        seconds += published_at.elapsed().as_secs_f64();
+        not_observed += count - delays.len().min(count);
+        delays.iter().for_each(|delay| sidecar_delays.record(delay.as_micros() as u64));
+        fleet_delays.record(delays.iter().max().map_or(0, Duration::as_micros) as u64);
     }
-    let per = (CHANGES * count) as f64;
-    report.put("changes", CHANGES as f64);
-    report.put("changes not seen in force", unseen as f64);
-    report.spread("in force at one sidecar, ms", &mut each_took, 1e3);
-    report.spread("in force everywhere, ms", &mut all_took, 1e3);
-    report.put(
+    let applied_changes = (CHANGE_COUNT * count) as f64;
+    report.add_value("changes", CHANGE_COUNT as f64);
+    report.add_value("changes not seen in force", not_observed as f64);
+    report.add_distribution("in force at one sidecar, ms", &mut sidecar_delays, 1e3);
+    report.add_distribution("in force everywhere, ms", &mut fleet_delays, 1e3);
+    report.add_value(
         "a change: processor, us a sidecar",
-        ns as f64 / per / 1e3 - idle_ns_per_s * seconds / CHANGES as f64 / 1e3,
+        cpu_ns as f64 / applied_changes / 1e3 - idle_cpu_ns_per_s * seconds / CHANGE_COUNT as f64 / 1e3,
     );
-    report.put("a change: bytes a sidecar", bytes as f64 / per - idle_bytes_per_s * seconds / CHANGES as f64);
-
-    // Empty lines come in step with the starts of the watches: at first as these were spread, then as one.
-    play.trouble("all watches silent", &mut report, Mood::Mute, false).await?;
-    play.trouble("all watches reset", &mut report, Mood::Well, true).await?;
-    play.trouble("silent after the reset", &mut report, Mood::Mute, false).await?;
-    play.trouble("reset and down for 5 s", &mut report, Mood::Down, true).await?;
-    play.trouble("silent and down for 5 s", &mut report, Mood::Down, false).await?;
-    let resident = play.sidecars.iter().map(Sidecar::resident_kib).max().unwrap_or(0);
-    report.put("resident memory, most, KiB", resident as f64);
-    let ended =
-        play.sidecars.iter_mut().filter_map(|sidecar| sidecar.child.try_wait().ok().flatten()).count();
-    report.put("sidecars that ended", ended as f64);
+    report.add_value(
+        "a change: bytes a sidecar",
+        bytes as f64 / applied_changes - idle_bytes_per_s * seconds / CHANGE_COUNT as f64,
+    );
+
+    // Keep-alive lines are in phase with the start of each watch. The first silence meets watches whose starts are
+    // spread out; the one after the reset meets watches that reopened almost together.
+    fleet.measure_fault("all watches silent", &mut report, StubMode::OldWatchesSilent, false).await?;
+    fleet.measure_fault("all watches reset", &mut report, StubMode::Serving, true).await?;
+    fleet.measure_fault("silent after the reset", &mut report, StubMode::OldWatchesSilent, false).await?;
+    fleet.measure_fault("reset and down for 5 s", &mut report, StubMode::Down, true).await?;
+    fleet.measure_fault("silent and down for 5 s", &mut report, StubMode::Down, false).await?;
+    let peak_resident_kib = fleet.sidecars.iter().map(Sidecar::resident_kib).max().unwrap_or(0);
+    report.add_value("resident memory, most, KiB", peak_resident_kib as f64);
+    let exited =
+        fleet.sidecars.iter_mut().filter_map(|sidecar| sidecar.child.try_wait().ok().flatten()).count();
+    report.add_value("sidecars that ended", exited as f64);
     Ok(report)
 }
--- a/tests/hollow.rs
+++ b/tests/hollow.rs
@@ -1,119 +1,130 @@
-//! The bench's fleet, small: what must hold in every play of `benches/hollow`.
+//! Invariants of the fleet simulation in `benches/hollow`, checked on a small fleet.
 
-#[path = "../benches/hollow/figures.rs"]
-mod figures;
-#[path = "../benches/hollow/stage.rs"]
-mod stage;
+#[path = "../benches/hollow/report.rs"]
+mod report;
+#[path = "../benches/hollow/simulation.rs"]
+mod simulation;
 
-use figures::Report;
+use report::Report;
 use sagemast::api::{ColdStartLimits, DiscoveryMode};
-use stage::{Plan, Stage, Trouble};
+use simulation::{Fault, Scenario, Simulation};
 
-const ASKED: DiscoveryMode = DiscoveryMode::Subscribe { subscribe_within: 2_000.0 };
+const SUBSCRIBE: DiscoveryMode = DiscoveryMode::Subscribe { subscribe_within: 2_000.0 };
 
-/// Forty sidecars on forty servers of four services, of which each lists two.
-fn plan(discovery: DiscoveryMode, trouble: Trouble) -> Plan {
-    Plan {
+/// Forty sidecars and forty servers of four services; each sidecar lists two of the services.
+fn scenario(discovery: DiscoveryMode, fault: Fault) -> Scenario {
+    Scenario {
         name: "small".to_owned(),
         seed: 11,
         servers: 40,
         sidecars: 40,
         services: 4,
-        calls: 2,
+        services_per_sidecar: 2,
         zones: 5,
         regions: 5,
         requests_per_s: 800.0,
-        load: 0.6,
-        span: 30_000,
-        during: [2_000, 20_000],
+        offered_load: 0.6,
+        duration_ms: 30_000,
+        activity_start_ms: 2_000,
+        activity_end_ms: 20_000,
         changes: 12,
         discovery,
         shared_versions: true,
-        history: 1_024,
+        delta_history: 1_024,
         cold_start: ColdStartLimits {
             initial_capacity_fraction: 0.16,
             warm_up: 21_000.0,
             overload_multiple: 2.5,
             overload_duration: 1_500.0,
         },
-        starts_told: true,
-        drain_grace: 2_000.0,
-        trouble,
+        list_start_times: true,
+        drain_grace_ms: 2_000.0,
+        fault,
     }
 }
 
-const TROUBLES: [Trouble; 5] = [
-    Trouble::None,
-    Trouble::Zone { at: 4_000, back: 14_000 },
-    Trouble::Machine { at: 8_000, silent: false },
-    Trouble::Machine { at: 8_000, silent: true },
-    Trouble::Cut { at: 4_000, heal: 14_000 },
+const FAULTS: [Fault; 5] = [
+    Fault::None,
+    Fault::ZoneOutage { start_ms: 4_000, end_ms: 14_000 },
+    Fault::DiscoveryNodeLoss { start_ms: 8_000, silent: false },
+    Fault::DiscoveryNodeLoss { start_ms: 8_000, silent: true },
+    Fault::RegionPartition { start_ms: 4_000, end_ms: 14_000 },
 ];
 
-fn play(plan: Plan) -> Report {
-    Stage::new(plan).play()
+fn run(scenario: Scenario) -> Report {
+    Simulation::new(scenario).run()
 }
 
 #[test]
-fn a_seed_makes_a_report() {
-    for trouble in TROUBLES {
-        let text = |seed| play(Plan { seed, ..plan(ASKED, trouble) }).json().to_string();
-        assert_eq!(text(5), text(5), "{trouble:?}");
-        assert_ne!(text(5), text(6), "{trouble:?}");
+fn reports_are_determined_by_the_seed() {
+    for fault in FAULTS {
+        let json = |seed| run(Scenario { seed, ..scenario(SUBSCRIBE, fault) }).to_json().to_string();
+        assert_eq!(json(5), json(5), "reports of the same seed differ: {fault:?}");
+        assert_ne!(json(5), json(6), "reports of different seeds are equal: {fault:?}");
     }
 }
 
 #[test]
-fn every_request_gets_one_answer_and_every_change_is_in_force_in_the_end() {
-    for discovery in [DiscoveryMode::Push, ASKED] {
-        for trouble in TROUBLES {
-            let report = play(plan(discovery, trouble));
-            check(&report, &format!("{discovery:?}, {trouble:?}"));
-            assert!(report.get("changes") >= 18.0, "six drains, ends and starts");
+fn each_request_gets_one_response_and_all_changes_are_applied() {
+    for discovery in [DiscoveryMode::Push, SUBSCRIBE] {
+        for fault in FAULTS {
+            let report = run(scenario(discovery, fault));
+            check_invariants(&report, &format!("{discovery:?}, {fault:?}"));
+            assert!(
+                report.value("changes") >= 18.0,
+                "expected at least a drain, a termination and a start for each of 6 servers"
+            );
         }
     }
 }
 
 #[test]
-fn every_request_gets_one_answer_where_servers_cannot_do_them_all() {
-    let crowded = Plan {
+fn each_request_gets_one_response_under_overload() {
+    let overload = Scenario {
         requests_per_s: 8_000.0,
-        load: 1.5,
-        during: [2_000, 7_000],
-        span: 12_000,
-        ..plan(ASKED, TROUBLES[0])
+        offered_load: 1.5,
+        activity_start_ms: 2_000,
+        activity_end_ms: 7_000,
+        duration_ms: 12_000,
+        ..scenario(SUBSCRIBE, FAULTS[0])
     };
-    let report = play(crowded);
-    check(&report, "crowded");
-    assert!(report.get("refused") > 1_000.0 && report.get("failed") > 0.0, "both ends are met");
+    let report = run(overload);
+    check_invariants(&report, "overload");
+    assert!(
+        report.value("refused") > 1_000.0 && report.value("failed") > 0.0,
+        "the overload must cause both refusals and failures"
+    );
 }
 
-/// What must hold in every play.
-fn check(report: &Report, play: &str) {
-    let zero = |name: &str| assert_eq!(report.get(name), 0.0, "{name}: {play}");
-    zero("with no final answer");
-    zero("second final answers");
-    zero("ended by their time");
-    zero("sends to the gone after the grace");
-    zero("changes lacking at a sidecar at the end");
-    let ends = ["served", "refused", "failed", "lost with their sidecar"].map(|name| report.get(name));
-    let (requests, ends) = (report.get("requests"), ends.iter().sum::<f64>());
-    assert!(requests > 10_000.0 && requests == ends, "{requests} requests, {ends} ends: {play}");
+/// Checks what must hold in every scenario.
+fn check_invariants(report: &Report, scenario: &str) {
+    let assert_zero = |name: &str| assert_eq!(report.value(name), 0.0, "{name}: {scenario}");
+    assert_zero("with no final answer");
+    assert_zero("second final answers");
+    assert_zero("ended by their time");
+    assert_zero("sends to the gone after the grace");
+    assert_zero("changes lacking at a sidecar at the end");
+    let outcomes = ["served", "refused", "failed", "lost with their sidecar"].map(|name| report.value(name));
+    let (requests, completed) = (report.value("requests"), outcomes.iter().sum::<f64>());
+    assert!(
+        requests > 10_000.0 && requests == completed,
+        "{requests} requests, {completed} completed: {scenario}"
+    );
 }
 
 #[test]
-fn a_cold_server_keeps_within_its_budget_where_its_start_is_told() {
-    let plan = |starts_told| Plan {
+fn cold_servers_are_not_overloaded_if_their_start_times_are_listed() {
+    let scenario = |list_start_times| Scenario {
         requests_per_s: 3_480.0,
         changes: 0,
-        starts_told,
-        ..plan(DiscoveryMode::Push, Trouble::Zone { at: 2_500, back: 12_000 })
+        list_start_times,
+        ..scenario(DiscoveryMode::Push, Fault::ZoneOutage { start_ms: 2_500, end_ms: 12_000 })
     };
     let name = "the same, of what makes it fall: last";
-    let (told, untold) = (play(plan(true)).get(name), play(plan(false)).get(name));
-    assert!(told < 1.0, "{told} of what makes it fall");
+    let (listed, unlisted) = (run(scenario(true)).value(name), run(scenario(false)).value(name));
+    assert!(listed < 1.0, "peak load of a cold server is {listed} times its failure threshold");
     assert!(
-        2.0 * told < untold,
-        "{told} against {untold} where nobody is told: the play must be able to tell"
+        2.0 * listed < unlisted,
+        "peak load with start times is {listed} and without {unlisted}: the scenario must show a clear difference"
     );
 }
