--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -1,5 +1,5 @@
-//! What the sidecar costs as the deployment grows: the decision module in virtual time and the real program on
-//! loopback, at several sizes, with the slope of each cost. See docs/CAPACITY.md.
+//! Cost of the sidecar as the deployment grows: the decision module in virtual time and the real program on loopback
+//! are measured at several sizes, and each cost is fitted against the number of servers. See docs/CAPACITY.md.
 
 #[path = "slopes/module.rs"]
 mod module;
@@ -18,10 +18,10 @@
 use clap::Parser;
 use serde::Serialize;
 
-use stats::{Run, Size, Table};
+use stats::{RunResult, Size, Table};
 
-/// Servers listed and sidecars that share them. The second is five services of eleven servers each in the planned
-/// deployment, the list of a sidecar that has only those it calls; 10 and 100 are about one and ten services.
+/// The measured sizes. In the planned deployment a service has about eleven servers: 54 is the list of a sidecar that
+/// lists only the five services that it calls; 10 and 100 are about one and ten services.
 const SIZES: [Size; 6] = [
     Size { servers: 10, sidecars: 10 },
     Size { servers: 54, sidecars: 4_600 },
@@ -31,7 +31,7 @@
     Size { servers: 4_600, sidecars: 4_600 },
 ];
 
-/// Measures what the sidecar costs at 10 to 4,600 listed servers. The whole takes under 4 minutes, --quick under 1.
+/// Measures the cost of the sidecar at 10 to 4,600 listed servers. A full run takes under 4 minutes, --quick under 1.
 #[derive(Parser)]
 #[command(bin_name = "cargo bench --bench slopes --")]
 struct Args {
@@ -41,113 +41,118 @@
     /// Only measurements whose name contains this, such as module/ or network/whole
     #[arg(long, value_name = "NAME")]
     only: Option<String>,
-    /// Also write every run's figures to this file
+    /// Also write the results of every run to this file as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
     /// Print one Markdown table instead, as in docs/CAPACITY.md
     #[arg(long)]
     markdown: bool,
-    /// Name what can be measured and end
+    /// List the names of all measurements and exit
     #[arg(long)]
     list: bool,
-    /// What cargo passes to every bench
+    /// Passed by `cargo bench`
     #[arg(long, hide = true)]
     bench: bool,
-    /// Prints the memory of a module at SERVERS:SIDECARS and ends
+    /// Print the memory of a module at SERVERS:SIDECARS in KiB and exit
     #[arg(long, hide = true)]
     memory_of: Option<String>,
 }
 
-/// How much is measured.
-pub struct Plan {
-    only: Option<String>,
-    /// Runs of the module and of the program.
+/// Which measurements are taken, and how much work each run does.
+pub struct Workload {
+    /// Selects the measurements whose names contain this; `None` for all.
+    name_filter: Option<String>,
+    /// Runs of the module measurements.
     module_runs: u64,
+    /// Runs of the network measurements.
     network_runs: u64,
-    /// Requests in one run of the module.
+    /// Requests per run of the module.
     pub requests: u64,
-    /// Changes of each sort, and whole lists, in one run of the module.
+    /// Changes of each kind, and snapshots, per run of the module.
     pub changes: u64,
-    /// How long calls are paced before they are timed and then, in seconds.
-    pub calls_s: [f64; 2],
-    /// Whole lists and changes in one run of the program.
-    pub lists: u64,
-    /// How long it is left alone, in seconds.
+    /// Duration of the calls before the timed ones.
+    pub call_warm_up_s: f64,
+    /// Duration of the timed calls.
+    pub call_measurement_s: f64,
+    /// Snapshots per run of the program, and the base for its number of changes.
+    pub list_updates: u64,
+    /// How long the idle program is observed.
     pub idle_s: f64,
 }
 
-impl Plan {
-    fn new(only: Option<String>, quick: bool) -> Plan {
-        let [requests, changes, lists] = if quick { [300, 30, 4] } else { [600, 60, 8] };
-        Plan {
-            only,
+impl Workload {
+    fn new(name_filter: Option<String>, quick: bool) -> Workload {
+        let [requests, changes, list_updates] = if quick { [300, 30, 4] } else { [600, 60, 8] };
+        Workload {
+            name_filter,
             module_runs: if quick { 3 } else { 7 },
             network_runs: if quick { 1 } else { 3 },
             requests,
             changes,
-            calls_s: if quick { [1.0, 1.2] } else { [2.0, 3.0] },
-            lists,
+            call_warm_up_s: if quick { 1.0 } else { 2.0 },
+            call_measurement_s: if quick { 1.2 } else { 3.0 },
+            list_updates,
             idle_s: if quick { 2.0 } else { 4.0 },
         }
     }
 
-    /// Whether a measurement was asked for.
-    pub fn wants(&self, name: &str) -> bool {
-        self.only.as_ref().is_none_or(|only| name.contains(only))
+    /// Whether a measurement is selected.
+    pub fn selects(&self, name: &str) -> bool {
+        self.name_filter.as_ref().is_none_or(|filter| name.contains(filter))
     }
 }
 
-/// Everything that one call of this bench gave.
+/// The JSON output of the bench.
 #[derive(Serialize)]
-struct Record<'a> {
-    /// As git has it, with `-dirty` where files were changed.
+struct BenchRecord<'a> {
+    /// The git revision, with `-dirty` if files were changed.
     revision: String,
-    /// UTC.
+    /// Date and time in UTC.
     date: String,
     cores: usize,
-    /// Load of the machine over a minute, before and after.
+    /// Load average of the machine over one minute, before and after the bench.
     load: [Option<f64>; 2],
     quick: bool,
     seconds: f64,
     tables: &'a [Table],
-    runs: &'a [Run],
+    runs: &'a [RunResult],
 }
 
 fn main() -> Result<()> {
     let args = Args::parse();
     if let Some(size) = &args.memory_of {
-        let (servers, sidecars) = size.split_once(':').context("SERVERS:SIDECARS")?;
+        let (servers, sidecars) = size.split_once(':').context("--memory-of expects SERVERS:SIDECARS")?;
         let size = Size { servers: servers.parse()?, sidecars: sidecars.parse()? };
-        println!("{:.1}", module::memory_of(size)?);
+        println!("{:.1}", module::memory_kib(size)?);
         return Ok(());
     }
     if args.list {
         module::NAMES.iter().chain(network::NAMES).for_each(|name| println!("{name}"));
         return Ok(());
     }
-    let plan = Plan::new(args.only, args.quick);
-    let (start, load) = (Instant::now(), proc::load());
-    let mut runs = Vec::new();
-    if module::NAMES.iter().any(|name| plan.wants(name)) {
-        for seed in 0..plan.module_runs {
-            SIZES.iter().try_for_each(|size| module::run(&plan, *size, seed, &mut runs))?;
+    let workload = Workload::new(args.only, args.quick);
+    let (start, load_before) = (Instant::now(), proc::load_average());
+    let mut results = Vec::new();
+    if module::NAMES.iter().any(|name| workload.selects(name)) {
+        for seed in 0..workload.module_runs {
+            SIZES.iter().try_for_each(|size| module::run(&workload, *size, seed, &mut results))?;
         }
     }
-    if network::NAMES.iter().any(|name| plan.wants(name)) {
-        for _ in 0..plan.network_runs {
-            network::run(&plan, &SIZES, &mut runs)?;
+    if network::NAMES.iter().any(|name| workload.selects(name)) {
+        for _ in 0..workload.network_runs {
+            network::run(&workload, &SIZES, &mut results)?;
         }
     }
-    let tables = stats::tables(&runs);
-    let record = Record {
-        revision: said_by("git", &["describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"]),
-        date: said_by("date", &["-u", "+%Y-%m-%dT%H:%M:%SZ"]),
+    let tables = stats::tables(&results);
+    let record = BenchRecord {
+        revision: command_output("git", &["describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"]),
+        date: command_output("date", &["-u", "+%Y-%m-%dT%H:%M:%SZ"]),
         cores: std::thread::available_parallelism().map_or(0, usize::from),
-        load: [load, proc::load()],
+        load: [load_before, proc::load_average()],
         quick: args.quick,
         seconds: start.elapsed().as_secs_f64().round(),
         tables: &tables,
-        runs: &runs,
+        runs: &results,
     };
     let loads = record.load.map(|load| load.unwrap_or(f64::NAN));
     println!(
@@ -158,18 +163,18 @@
         stats::print_markdown(&tables, &SIZES);
     } else {
         println!("min, median and max over runs; p99 is the median run's 99th percentile\n");
-        tables.iter().for_each(stats::print);
+        tables.iter().for_each(stats::print_table);
     }
     if let Some(path) = args.json {
-        // Cargo runs benches in the package's folder; the file is written there unless its path is absolute.
+        // Cargo runs benches in the package directory, so a relative path is relative to that.
         std::fs::write(&path, serde_json::to_string_pretty(&record)?)
             .context("cannot write the JSON file")?;
     }
     Ok(())
 }
 
-/// The first line of what a program says, or nothing.
-fn said_by(program: &str, args: &[&str]) -> String {
+/// The trimmed standard output of a command; empty if it cannot be run.
+fn command_output(program: &str, args: &[&str]) -> String {
     let output = Command::new(program).args(args).output().map(|output| output.stdout).unwrap_or_default();
     String::from_utf8_lossy(&output).trim().to_owned()
 }
--- a/benches/slopes/module.rs
+++ b/benches/slopes/module.rs
@@ -1,4 +1,4 @@
-//! The decision module in virtual time, through its public interface alone.
+//! Measurements of the decision module in virtual time, through its public interface only.
 
 use std::collections::BTreeMap;
 use std::process::Command;
@@ -10,27 +10,26 @@
 use sagemast::api::*;
 use sagemast::settings::ring_position;
 
-use super::Plan;
-use super::stats::{Run, Size, Times};
+use super::Workload;
+use super::stats::{LatencyHistogram, RunResult, Size};
 
-/// Calls a second at a mean sidecar: 400,000 over 4,600.
-const MEAN_RATE: f64 = 87.0;
-/// And at a busy one, several times that.
-const BUSY_RATE: f64 = 435.0;
-/// Zones of the deployment that the plan is for.
+/// Request rate of an average sidecar: 400,000 requests per second over 4,600 sidecars.
+const MEAN_REQUESTS_PER_S: f64 = 87.0;
+/// Request rate of a busy sidecar.
+const BUSY_REQUESTS_PER_S: f64 = 435.0;
+/// Zones of the planned deployment.
 const ZONES: u64 = 20;
-/// Servers in a cell.
-const CELL: u64 = 10;
-/// The virtual time after which the module has learnt its rate of arrivals and who it draws from.
+const SERVERS_PER_CELL: u64 = 10;
+/// Virtual time until the module's estimate of the arrival rate and its choice of upstreams have settled.
 const WARM_UP_MS: f64 = 6_000.0;
-/// One request in so many fails its first attempt, where further ones are measured: the module allows one
-/// further attempt for ten arrivals.
-const FAIL_EVERY: u64 = 12;
+/// Every this many requests, one fails its first attempt where retries are measured. The module allows one retry per
+/// ten arrivals.
+const REQUESTS_PER_FAILURE: u64 = 12;
 
-const REPEATABLE: ClassId = ClassId(0);
-const BY_CELL: ClassId = ClassId(1);
+const IDEMPOTENT_CLASS: ClassId = ClassId(0);
+const CELL_KEYED_CLASS: ClassId = ClassId(1);
 
-/// Names of what is measured here.
+/// Names of the measurements in this file.
 pub const NAMES: &[&str] = &[
     "module/decision-and-answer",
     "module/decision",
@@ -46,7 +45,7 @@
 
 fn settings(size: Size) -> Settings {
     let class =
-        |effect| Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect };
+        |idempotency| Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency };
     Settings {
         classes: vec![
             class(Idempotency::Idempotent),
@@ -56,7 +55,7 @@
         over_quota_value_fraction: 1.0,
         zone: ZoneId(0),
         sidecar_count: size.sidecars as u32,
-        // Any but the first; starting points are spread by the module.
+        // Any index but the first represents the fleet.
         sidecar_index: Some((size.sidecars / 3) as u32),
         zone_crossing_cost: 0.03,
         probe_cost: 0.01,
@@ -79,12 +78,12 @@
     }
 }
 
-/// Whole cells lie in one zone, and cells go round the zones.
-fn listing(id: u64) -> UpstreamRecord {
+/// The record of a server. Each cell lies in one zone; cells are assigned to zones round-robin.
+fn upstream_record(id: u64) -> UpstreamRecord {
     UpstreamRecord {
         upstream: UpstreamId(id),
-        zone: ZoneId(id / CELL % ZONES),
-        cell: CellId(id / CELL),
+        zone: ZoneId(id / SERVERS_PER_CELL % ZONES),
+        cell: CellId(id / SERVERS_PER_CELL),
         ring_position: ring_position(format!("s-{id:08x}").as_bytes()),
         machine_type: MachineTypeId(id % 3),
         lifecycle: Lifecycle::Serving,
@@ -93,68 +92,83 @@
     }
 }
 
-fn list(size: Size) -> Vec<UpstreamRecord> {
-    (0..size.servers).map(listing).collect()
+fn upstream_records(size: Size) -> Vec<UpstreamRecord> {
+    (0..size.servers).map(upstream_record).collect()
 }
 
-/// An attempt that is out, and what its request has cost so far.
-struct Out {
+/// Orders the attempts in flight by the virtual time of their end.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptEnd {
+    at_us: u64,
+    request: u64,
+}
+
+struct InFlightAttempt {
     upstream: UpstreamId,
     attempt: AttemptNo,
     latency: Millis,
     outcome: Outcome,
-    spent: u64,
+    /// Time that the module has spent on the request so far.
+    spent_ns: u64,
 }
 
-/// What is timed.
-struct Timed {
-    arrived: Times,
-    both: Times,
-    further: Times,
+/// Times that the module spends on requests.
+struct RequestTimings {
+    /// Choice of the upstream when a request arrives.
+    decision: LatencyHistogram,
+    /// The decision and the handling of the response, for requests with a single attempt.
+    decision_and_response: LatencyHistogram,
+    /// Handling of a failed attempt that is retried.
+    retry: LatencyHistogram,
 }
 
-impl Timed {
-    fn new() -> Timed {
-        Timed { arrived: Times::new(), both: Times::new(), further: Times::new() }
+impl RequestTimings {
+    fn new() -> RequestTimings {
+        RequestTimings {
+            decision: LatencyHistogram::new(),
+            decision_and_response: LatencyHistogram::new(),
+            retry: LatencyHistogram::new(),
+        }
     }
 }
 
-/// One module among servers that answer in time.
-struct World {
+/// Simulation of one module with servers that answer in time.
+struct Simulation {
     balancer: Balancer,
     now: Millis,
-    next: u64,
+    last_request_id: u64,
     rng: Rand64,
-    /// By the time of the end, in microseconds, and the request.
-    out: BTreeMap<(u64, u64), Out>,
+    in_flight: BTreeMap<AttemptEnd, InFlightAttempt>,
     actions: Vec<Action>,
-    fails: bool,
+    /// Whether some requests fail their first attempt.
+    inject_failures: bool,
 }
 
-impl World {
-    fn new(size: Size, seed: u64) -> World {
-        let mut world = World {
+impl Simulation {
+    fn new(size: Size, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
             balancer: Balancer::new(settings(size), seed),
             now: 0.0,
-            next: 0,
+            last_request_id: 0,
             rng: Rand64::new(u128::from(seed)),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             actions: Vec::new(),
-            fails: false,
+            inject_failures: false,
         };
-        world.timed(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list(size))));
-        world
+        simulation.handle_timed(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(upstream_records(size))));
+        simulation
     }
 
-    /// Hands over an event; how long that took, in nanoseconds.
-    fn timed(&mut self, event: Event) -> u64 {
+    /// Passes an event to the module. Returns the real time that the module took, in nanoseconds.
+    fn handle_timed(&mut self, event: Event) -> u64 {
         self.actions.clear();
         let start = Instant::now();
         self.balancer.handle(self.now, event, &mut self.actions);
         start.elapsed().as_nanos() as u64
     }
 
-    fn report(&mut self) -> LoadReport {
+    /// Draws a random load report.
+    fn load_report(&mut self) -> LoadReport {
         LoadReport {
             in_flight: Some(1.0 + (5.0 * self.rng.rand_float()).floor()),
             utilisation: Some(0.3 + 0.3 * self.rng.rand_float()),
@@ -162,23 +176,26 @@
         }
     }
 
-    /// Carries out what the module asked for. Whether it sent.
-    fn act(&mut self, request: u64, attempt: u32, class: ClassId, spent: u64) -> bool {
+    /// Executes the module's actions. Returns whether an attempt was sent.
+    fn execute_actions(&mut self, request: u64, attempt: u32, class: ClassId, spent_ns: u64) -> bool {
         let mut sent = false;
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Send { upstream, .. } => {
                     sent = true;
-                    let fails = class == BY_CELL && attempt == 0;
+                    let fails = class == CELL_KEYED_CLASS && attempt == 0;
                     let latency = 10.0 + 30.0 * self.rng.rand_float();
                     let outcome = if fails { Outcome::Error } else { Outcome::Ok };
-                    let at = ((self.now + latency) * 1e3) as u64;
+                    let at_us = ((self.now + latency) * 1e3) as u64;
                     let attempt = AttemptNo(attempt);
-                    self.out.insert((at, request), Out { upstream, attempt, latency, outcome, spent });
+                    self.in_flight.insert(
+                        AttemptEnd { at_us, request },
+                        InFlightAttempt { upstream, attempt, latency, outcome, spent_ns },
+                    );
                 }
                 Action::Probe(upstream) => {
-                    let report = Some(self.report());
-                    self.timed(Event::ProbeFinished { upstream, answered: true, report });
+                    let report = Some(self.load_report());
+                    self.handle_timed(Event::ProbeFinished { upstream, answered: true, report });
                 }
                 _ => {}
             }
@@ -186,26 +203,32 @@
         sent
     }
 
-    /// Lets requests come in at a rate for so long.
-    fn play(&mut self, rate: f64, millis: Millis, timed: &mut Timed) {
-        let end = self.now + millis;
+    /// Simulates requests at a constant rate.
+    fn run_requests(&mut self, requests_per_s: f64, duration: Millis, timings: &mut RequestTimings) {
+        let end = self.now + duration;
         let mut arrival = self.now;
         while arrival < end {
-            arrival += 1_000.0 / rate;
-            while let Some(entry) = self.out.first_entry().filter(|out| out.key().0 as f64 <= arrival * 1e3) {
-                let ((at, request), out) = entry.remove_entry();
-                self.now = self.now.max(at as f64 / 1e3);
-                self.finish(request, out, timed);
+            arrival += 1_000.0 / requests_per_s;
+            while let Some(entry) =
+                self.in_flight.first_entry().filter(|entry| entry.key().at_us as f64 <= arrival * 1e3)
+            {
+                let (AttemptEnd { at_us, request }, attempt) = entry.remove_entry();
+                self.now = self.now.max(at_us as f64 / 1e3);
+                self.finish_attempt(request, attempt, timings);
             }
             self.now = self.now.max(arrival);
-            self.arrive(timed);
+            self.start_request(timings);
         }
     }
 
-    fn arrive(&mut self, timed: &mut Timed) {
-        self.next += 1;
-        let request = self.next;
-        let class = if self.fails && request.is_multiple_of(FAIL_EVERY) { BY_CELL } else { REPEATABLE };
+    fn start_request(&mut self, timings: &mut RequestTimings) {
+        self.last_request_id += 1;
+        let request = self.last_request_id;
+        let class = if self.inject_failures && request.is_multiple_of(REQUESTS_PER_FAILURE) {
+            CELL_KEYED_CLASS
+        } else {
+            IDEMPOTENT_CLASS
+        };
         let event = Event::RequestArrived {
             request: RequestId(request),
             class,
@@ -213,14 +236,14 @@
             time_left: 500.0,
             cost: None,
         };
-        let spent = self.timed(event);
-        timed.arrived.add(spent);
-        self.act(request, 0, class, spent);
+        let spent_ns = self.handle_timed(event);
+        timings.decision.record(spent_ns);
+        self.execute_actions(request, 0, class, spent_ns);
     }
 
-    fn finish(&mut self, request: u64, out: Out, timed: &mut Timed) {
-        let Out { upstream, attempt, latency, outcome, spent } = out;
-        let report = Some(self.report());
+    fn finish_attempt(&mut self, request: u64, finished: InFlightAttempt, timings: &mut RequestTimings) {
+        let InFlightAttempt { upstream, attempt, latency, outcome, spent_ns } = finished;
+        let report = Some(self.load_report());
         let finished = AttemptFinished {
             request: RequestId(request),
             attempt,
@@ -230,119 +253,140 @@
             request_completed: outcome == Outcome::Ok,
             report,
         };
-        let took = self.timed(Event::AttemptFinished(finished));
-        let further = outcome != Outcome::Ok && self.act(request, attempt.0 + 1, BY_CELL, spent + took);
-        if further {
-            timed.further.add(took);
+        let elapsed_ns = self.handle_timed(Event::AttemptFinished(finished));
+        let retried = outcome != Outcome::Ok
+            && self.execute_actions(request, attempt.0 + 1, CELL_KEYED_CLASS, spent_ns + elapsed_ns);
+        if retried {
+            timings.retry.record(elapsed_ns);
         } else if attempt == AttemptNo(0) && outcome == Outcome::Ok {
-            timed.both.add(spent + took);
+            timings.decision_and_response.record(spent_ns + elapsed_ns);
         }
     }
 }
 
-/// One run at one size.
-pub fn run(plan: &Plan, size: Size, seed: u64, runs: &mut Vec<Run>) -> Result<()> {
-    requests(plan, size, seed, runs);
-    lists(plan, size, seed, runs);
-    if plan.wants("module/memory") {
-        runs.push(memory(size)?);
+/// Performs one run at one size.
+pub fn run(workload: &Workload, size: Size, seed: u64, results: &mut Vec<RunResult>) -> Result<()> {
+    measure_requests(workload, size, seed, results);
+    measure_updates(workload, size, seed, results);
+    if workload.selects("module/memory") {
+        results.push(measure_memory(size)?);
     }
     Ok(())
 }
 
-fn requests(plan: &Plan, size: Size, seed: u64, runs: &mut Vec<Run>) {
-    let span = plan.requests as f64 / MEAN_RATE * 1e3;
-    if plan.wants("module/decision") || plan.wants("module/decision-and-answer") {
-        let mut world = World::new(size, seed);
-        world.play(MEAN_RATE, WARM_UP_MS, &mut Timed::new());
-        let mut timed = Timed::new();
-        world.play(MEAN_RATE, span, &mut timed);
-        let both = timed.both.run("module/decision-and-answer", size);
-        runs.extend(both.into_iter().chain(timed.arrived.run("module/decision", size)));
+fn measure_requests(workload: &Workload, size: Size, seed: u64, results: &mut Vec<RunResult>) {
+    let duration = workload.requests as f64 / MEAN_REQUESTS_PER_S * 1e3;
+    if workload.selects("module/decision") || workload.selects("module/decision-and-answer") {
+        let mut simulation = Simulation::new(size, seed);
+        simulation.run_requests(MEAN_REQUESTS_PER_S, WARM_UP_MS, &mut RequestTimings::new());
+        let mut timings = RequestTimings::new();
+        simulation.run_requests(MEAN_REQUESTS_PER_S, duration, &mut timings);
+        let decision_and_response =
+            timings.decision_and_response.run_result("module/decision-and-answer", size);
+        results.extend(
+            decision_and_response.into_iter().chain(timings.decision.run_result("module/decision", size)),
+        );
     }
-    if plan.wants("module/decision-and-answer-busy") {
-        let mut world = World::new(size, seed);
-        world.play(BUSY_RATE, WARM_UP_MS, &mut Timed::new());
-        let mut timed = Timed::new();
-        world.play(BUSY_RATE, span * MEAN_RATE / BUSY_RATE, &mut timed);
-        runs.extend(timed.both.run("module/decision-and-answer-busy", size));
+    if workload.selects("module/decision-and-answer-busy") {
+        let mut simulation = Simulation::new(size, seed);
+        simulation.run_requests(BUSY_REQUESTS_PER_S, WARM_UP_MS, &mut RequestTimings::new());
+        let mut timings = RequestTimings::new();
+        simulation.run_requests(
+            BUSY_REQUESTS_PER_S,
+            duration * MEAN_REQUESTS_PER_S / BUSY_REQUESTS_PER_S,
+            &mut timings,
+        );
+        results.extend(timings.decision_and_response.run_result("module/decision-and-answer-busy", size));
     }
-    if plan.wants("module/further-attempt-in-cell") {
-        let mut world = World::new(size, seed);
-        world.fails = true;
-        world.play(MEAN_RATE, WARM_UP_MS, &mut Timed::new());
-        let mut timed = Timed::new();
-        world.play(MEAN_RATE, 2.0 * span, &mut timed);
-        runs.extend(timed.further.run("module/further-attempt-in-cell", size));
+    if workload.selects("module/further-attempt-in-cell") {
+        let mut simulation = Simulation::new(size, seed);
+        simulation.inject_failures = true;
+        simulation.run_requests(MEAN_REQUESTS_PER_S, WARM_UP_MS, &mut RequestTimings::new());
+        let mut timings = RequestTimings::new();
+        simulation.run_requests(MEAN_REQUESTS_PER_S, 2.0 * duration, &mut timings);
+        results.extend(timings.retry.run_result("module/further-attempt-in-cell", size));
     }
 }
 
-fn lists(plan: &Plan, size: Size, seed: u64, runs: &mut Vec<Run>) {
-    let changes = ["module/change-drain", "module/change-start-cold", "module/change-ready"];
-    if !changes.iter().chain(&["module/whole-list", "module/report"]).any(|name| plan.wants(name)) {
+/// Measures changes of the server list, snapshots and load reports.
+fn measure_updates(workload: &Workload, size: Size, seed: u64, results: &mut Vec<RunResult>) {
+    let change_names = ["module/change-drain", "module/change-start-cold", "module/change-ready"];
+    if !change_names.iter().chain(&["module/whole-list", "module/report"]).any(|name| workload.selects(name))
+    {
         return;
     }
-    let mut world = World::new(size, seed);
-    world.play(MEAN_RATE, WARM_UP_MS, &mut Timed::new());
-    let (mut drain, mut cold, mut ready) = (Times::new(), Times::new(), Times::new());
-    for number in 0..plan.changes {
-        // A step that meets all of a list, whatever its length.
+    let mut simulation = Simulation::new(size, seed);
+    simulation.run_requests(MEAN_REQUESTS_PER_S, WARM_UP_MS, &mut RequestTimings::new());
+    let (mut drain, mut cold_start, mut ready) =
+        (LatencyHistogram::new(), LatencyHistogram::new(), LatencyHistogram::new());
+    for number in 0..workload.changes {
+        // The step of 7 has no common factor with the sizes, so it reaches every server.
         let id = (number * 7 + seed) % size.servers;
-        let change = |world: &mut World, entry: UpstreamRecord, times: &mut Times| {
-            world.now += 20.0;
-            times.add(world.timed(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![entry]))));
-        };
-        change(&mut world, UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(id) }, &mut drain);
-        let started = Some(world.now);
-        change(&mut world, UpstreamRecord { started_at: started, ..listing(id) }, &mut cold);
-        change(&mut world, UpstreamRecord { started_at: started, ..listing(id) }, &mut ready);
+        let apply_change =
+            |simulation: &mut Simulation, record: UpstreamRecord, times: &mut LatencyHistogram| {
+                simulation.now += 20.0;
+                times.record(
+                    simulation.handle_timed(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![record]))),
+                );
+            };
+        apply_change(
+            &mut simulation,
+            UpstreamRecord { lifecycle: Lifecycle::Draining, ..upstream_record(id) },
+            &mut drain,
+        );
+        let started_at = Some(simulation.now);
+        apply_change(&mut simulation, UpstreamRecord { started_at, ..upstream_record(id) }, &mut cold_start);
+        apply_change(&mut simulation, UpstreamRecord { started_at, ..upstream_record(id) }, &mut ready);
     }
-    for (name, times) in changes.into_iter().zip([drain, cold, ready]) {
-        runs.extend(times.run(name, size).filter(|_| plan.wants(name)));
+    for (name, times) in change_names.into_iter().zip([drain, cold_start, ready]) {
+        results.extend(times.run_result(name, size).filter(|_| workload.selects(name)));
     }
-    let mut whole = Times::new();
-    for _ in 0..plan.changes {
-        world.now += 20.0;
-        let event = Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(list(size)));
-        whole.add(world.timed(event));
+    let mut snapshots = LatencyHistogram::new();
+    for _ in 0..workload.changes {
+        simulation.now += 20.0;
+        let event = Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(upstream_records(size)));
+        snapshots.record(simulation.handle_timed(event));
     }
-    runs.extend(whole.run("module/whole-list", size).filter(|_| plan.wants("module/whole-list")));
-    let mut reports = Times::new();
-    for number in 0..10 * plan.changes {
-        world.now += 1.0;
-        let report = Some(world.report());
+    results.extend(
+        snapshots.run_result("module/whole-list", size).filter(|_| workload.selects("module/whole-list")),
+    );
+    let mut reports = LatencyHistogram::new();
+    for number in 0..10 * workload.changes {
+        simulation.now += 1.0;
+        let report = Some(simulation.load_report());
         let upstream = UpstreamId(number * 7 % size.servers);
-        reports.add(world.timed(Event::ProbeFinished { upstream, answered: true, report }));
+        reports.record(simulation.handle_timed(Event::ProbeFinished { upstream, answered: true, report }));
     }
-    runs.extend(reports.run("module/report", size).filter(|_| plan.wants("module/report")));
+    results.extend(reports.run_result("module/report", size).filter(|_| workload.selects("module/report")));
 }
 
-/// Memory of a module, from a process that does nothing else: freed pages of other work would hide it.
-fn memory(size: Size) -> Result<Run> {
-    let shown = format!("{}:{}", size.servers, size.sidecars);
-    let output = Command::new(std::env::current_exe()?).args(["--memory-of", &shown]).output()?;
+/// Measures the memory of a module in a separate process, as pages freed by earlier work would distort the result.
+fn measure_memory(size: Size) -> Result<RunResult> {
+    let size_argument = format!("{}:{}", size.servers, size.sidecars);
+    let output = Command::new(std::env::current_exe()?).args(["--memory-of", &size_argument]).output()?;
     if !output.status.success() {
-        bail!("the process for memory ended with {}", output.status);
+        bail!("memory measurement failed: {}", output.status);
     }
-    let value = String::from_utf8(output.stdout)?.trim().parse().context("no figure for memory")?;
-    Ok(Run { name: "module/memory", unit: "KiB", size, value, samples: None })
+    let value =
+        String::from_utf8(output.stdout)?.trim().parse().context("memory measurement printed no number")?;
+    Ok(RunResult { name: "module/memory", unit: "KiB", size, value, samples: None })
 }
 
-/// Resident memory that each of many modules takes with its list in and after some traffic, in KiB.
-pub fn memory_of(size: Size) -> Result<f64> {
-    // Enough of them that pages and the list at hand do not count.
+/// The mean resident memory of a module with its server list and after 1 s of requests, in KiB.
+pub fn memory_kib(size: Size) -> Result<f64> {
+    // Enough modules that partly used pages and the temporary list are negligible.
     let count = (60_000 / size.servers).clamp(12, 1_000);
-    let make = |seed| {
-        let mut world = World::new(size, seed);
-        world.play(MEAN_RATE, 1_000.0, &mut Timed::new());
-        world
+    let create = |seed| {
+        let mut simulation = Simulation::new(size, seed);
+        simulation.run_requests(MEAN_REQUESTS_PER_S, 1_000.0, &mut RequestTimings::new());
+        simulation
     };
-    let first = make(0);
-    let before = resident_kib()?;
-    let worlds: Vec<World> = (1..=count).map(make).collect();
-    let after = resident_kib()?;
-    drop((first, worlds));
-    Ok((after - before) / count as f64)
+    let first = create(0);
+    let before_kib = resident_kib()?;
+    let simulations: Vec<Simulation> = (1..=count).map(create).collect();
+    let after_kib = resident_kib()?;
+    drop((first, simulations));
+    Ok((after_kib - before_kib) / count as f64)
 }
 
 fn resident_kib() -> Result<f64> {
--- a/benches/slopes/network.rs
+++ b/benches/slopes/network.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback, between a client, ticket servers and a discovery that stand in for others.
+//! Measurements of the real program on loopback, with a client and with stubs of the servers and of discovery.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,38 +13,38 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-use super::Plan;
+use super::Workload;
 use super::proc::{cpu_us, status_kib};
-use super::stats::{Run, Size, Times, median};
-
-/// Calls a second at a mean sidecar.
-const MEAN_RATE: f64 = 87.0;
-/// Zones apart from the sidecar's own, and servers in a cell.
-const ZONES: u64 = 20;
-const CELL: u64 = 10;
-/// Nothing here takes this long unless it never comes.
-const FOREVER: Duration = Duration::from_secs(20);
-/// How often it is tried whether a change is in force.
-const TRY_EVERY: Duration = Duration::from_millis(2);
-/// Before that calls rest for so long: on a connection that has just carried an answer the program lets the next
-/// one wait, which would be taken for the change.
-const REST: Duration = Duration::from_millis(30);
-/// As long as nothing changes, discovery says an empty line this often.
-const ALIVE_EVERY: Duration = Duration::from_secs(2);
-/// The version of the list that the program is told at its start.
-const FIRST_SEQ: u64 = 41;
-
-const START_KNOWN: &str = "network/start-with-list";
-const START_UNKNOWN: &str = "network/start-without-list";
+use super::stats::{LatencyHistogram, RunResult, Size, median};
+
+/// Request rate of an average sidecar.
+const MEAN_REQUESTS_PER_S: f64 = 87.0;
+/// Zones besides the sidecar's own.
+const REMOTE_ZONES: u64 = 20;
+const SERVERS_PER_CELL: u64 = 10;
+/// Upper bound of every wait; reaching it is an error.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval of the calls that check whether a change is in effect.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Pause before a change is timed. The program may delay a request on a connection that has just carried a response,
+/// which would count as propagation time.
+const PAUSE_BEFORE_CHANGE: Duration = Duration::from_millis(30);
+/// Interval of the keep-alive lines on an open watch.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Version of the host list in the program's configuration.
+const INITIAL_SEQ: u64 = 41;
+
+const START_WITH_LIST: &str = "network/start-with-list";
+const START_WITHOUT_LIST: &str = "network/start-without-list";
 const CALL_TIME: &str = "network/call-time";
-const CALL_DIRECT: &str = "network/call-without-sidecar";
+const CALL_WITHOUT_SIDECAR: &str = "network/call-without-sidecar";
 const CALL_CPU: &str = "network/call-cpu";
-const WHOLE_BYTES: &str = "network/whole-list-bytes";
-const WHOLE_CPU: &str = "network/whole-list-cpu";
-const WHOLE_TIME: &str = "network/whole-list-in-force";
+const SNAPSHOT_BYTES: &str = "network/whole-list-bytes";
+const SNAPSHOT_CPU: &str = "network/whole-list-cpu";
+const SNAPSHOT_PROPAGATION: &str = "network/whole-list-in-force";
 const CHANGE_BYTES: &str = "network/change-bytes";
 const CHANGE_CPU: &str = "network/change-cpu";
-const CHANGE_TIME: &str = "network/change-in-force";
+const CHANGE_PROPAGATION: &str = "network/change-in-force";
 const CONNECTIONS: &str = "network/connections";
 const PROBES: &str = "network/probes";
 const MEMORY_LIST: &str = "network/memory-list";
@@ -54,21 +54,21 @@
 const IDLE_BYTES: &str = "network/idle-bytes";
 const IDLE_CPU: &str = "network/idle-cpu";
 
-/// Names of what is measured here.
+/// Names of the measurements in this file.
 pub const NAMES: &[&str] = &[
-    START_UNKNOWN,
-    START_KNOWN,
+    START_WITHOUT_LIST,
+    START_WITH_LIST,
     CALL_TIME,
-    CALL_DIRECT,
+    CALL_WITHOUT_SIDECAR,
     CALL_CPU,
     CONNECTIONS,
     PROBES,
     CHANGE_BYTES,
     CHANGE_CPU,
-    CHANGE_TIME,
-    WHOLE_BYTES,
-    WHOLE_CPU,
-    WHOLE_TIME,
+    CHANGE_PROPAGATION,
+    SNAPSHOT_BYTES,
+    SNAPSHOT_CPU,
+    SNAPSHOT_PROPAGATION,
     MEMORY_LIST,
     MEMORY_CALLS,
     MEMORY_END,
@@ -77,25 +77,30 @@
     IDLE_CPU,
 ];
 
-/// The servers and discovery that one sidecar has, on a thread of their own.
-struct Stage {
+/// The servers and discovery of one sidecar, on a thread of their own.
+struct Stubs {
     size: Size,
-    /// The one server in the sidecar's zone: while it is ready, calls go there, and else to the others.
+    /// The only server in the sidecar's zone. Requests go to it while it is ready, otherwise to remote servers.
     near: SocketAddr,
-    /// All others listen here; to the sidecar they are as many servers as have names.
+    /// The common address of all servers in other zones.
     far: SocketAddr,
     discovery: SocketAddr,
-    agent: Arc<Agent>,
+    state: Arc<StubState>,
 }
 
-/// What discovery holds and has said, and what ticket servers have seen.
-struct Agent {
+/// State that the stub tasks share with the measurements.
+struct StubState {
+    /// The version of the host list.
     seq: AtomicU64,
-    bytes: AtomicU64,
-    /// Connections that ticket servers have now, and probes that they have answered.
+    /// Bytes written on watches.
+    watch_bytes: AtomicU64,
+    /// Open connections to the servers.
     connections: AtomicU64,
+    /// Probes that the servers have answered.
     probes: AtomicU64,
-    first: Mutex<String>,
+    /// The initial host list.
+    initial_list: Mutex<String>,
+    /// Senders of host list lines to the open watches.
     watches: Mutex<Vec<mpsc::UnboundedSender<Arc<str>>>>,
 }
 
@@ -103,163 +108,185 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Stage {
-    fn new(size: Size) -> Result<Stage> {
+impl Stubs {
+    fn start(size: Size) -> Result<Stubs> {
         let listeners = (0..3).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
-        let at = listeners.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>()?;
-        let agent = Arc::new(Agent {
-            seq: AtomicU64::new(FIRST_SEQ),
-            bytes: AtomicU64::new(0),
+        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>()?;
+        let state = Arc::new(StubState {
+            seq: AtomicU64::new(INITIAL_SEQ),
+            watch_bytes: AtomicU64::new(0),
             connections: AtomicU64::new(0),
             probes: AtomicU64::new(0),
-            first: Mutex::new(String::new()),
+            initial_list: Mutex::new(String::new()),
             watches: Mutex::new(Vec::new()),
         });
-        let stage = Stage { size, near: at[0], far: at[1], discovery: at[2], agent: agent.clone() };
-        *lock(&agent.first) = stage.whole(FIRST_SEQ, "draining");
+        let stubs = Stubs {
+            size,
+            near: addresses[0],
+            far: addresses[1],
+            discovery: addresses[2],
+            state: state.clone(),
+        };
+        *lock(&state.initial_list) = stubs.snapshot(INITIAL_SEQ, "draining");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        std::thread::spawn(move || runtime.block_on(play(listeners, agent)));
-        Ok(stage)
+        std::thread::spawn(move || runtime.block_on(run_stubs(listeners, state)));
+        Ok(stubs)
     }
 
-    /// The entry of the one server in the sidecar's zone.
+    /// The entry of the near server.
     fn near_entry(&self, health: &str) -> String {
-        entry("s-near0000", self.near, "z0", 0, health)
+        host_entry("s-near0000", self.near, "z0", 0, health)
     }
 
-    fn whole(&self, seq: u64, near: &str) -> String {
-        let far = (1..self.size.servers).map(|id| {
-            let zone = format!("z{}", 1 + id / CELL % ZONES);
-            entry(&format!("s-{id:08x}"), self.far, &zone, 1 + id / CELL, "ready")
+    /// The complete host list, with the given health of the near server.
+    fn snapshot(&self, seq: u64, near_health: &str) -> String {
+        let far_entries = (1..self.size.servers).map(|id| {
+            let zone = format!("z{}", 1 + id / SERVERS_PER_CELL % REMOTE_ZONES);
+            host_entry(&format!("s-{id:08x}"), self.far, &zone, 1 + id / SERVERS_PER_CELL, "ready")
         });
-        let entries: Vec<String> = std::iter::once(self.near_entry(near)).chain(far).collect();
-        list(seq, true, &entries)
+        let entries: Vec<String> = std::iter::once(self.near_entry(near_health)).chain(far_entries).collect();
+        host_list(seq, true, &entries)
     }
 
-    /// Tells one change, or the whole list, on the open watches. How many bytes that took.
-    fn tell(&self, whole: bool, near: &str) -> u64 {
-        let seq = self.agent.seq.fetch_add(1, Ordering::SeqCst) + 1;
-        let text = if whole { self.whole(seq, near) } else { list(seq, false, &[self.near_entry(near)]) };
-        let bytes = chunk(&text).len() as u64;
-        let text: Arc<str> = text.into();
-        lock(&self.agent.watches).retain(|watch| watch.send(text.clone()).is_ok());
+    /// Sends the health of the near server on the open watches, in a snapshot or as a single change. Returns the size
+    /// of the update.
+    fn publish(&self, as_snapshot: bool, near_health: &str) -> u64 {
+        let seq = self.state.seq.fetch_add(1, Ordering::SeqCst) + 1;
+        let line = if as_snapshot {
+            self.snapshot(seq, near_health)
+        } else {
+            host_list(seq, false, &[self.near_entry(near_health)])
+        };
+        let bytes = chunk(&line).len() as u64;
+        let line: Arc<str> = line.into();
+        lock(&self.state.watches).retain(|watch| watch.send(line.clone()).is_ok());
         bytes
     }
 }
 
-fn entry(host: &str, dial: SocketAddr, zone: &str, cell: u64, health: &str) -> String {
+fn host_entry(host: &str, dial: SocketAddr, zone: &str, cell: u64, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"{zone}","class":"m2","block":{cell},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-fn list(seq: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+fn host_list(seq: u64, complete: bool, entries: &[String]) -> String {
+    format!(r#"{{"seq":{seq},"whole":{complete},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// A line as a chunk.
+/// Frames a line as an HTTP chunk.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-async fn play(listeners: Vec<TcpListener>, agent: Arc<Agent>) {
+async fn run_stubs(listeners: Vec<TcpListener>, state: Arc<StubState>) {
     let tasks: Vec<_> = listeners
         .into_iter()
-        .zip(["near", "far", ""])
-        .map(|(listener, name)| tokio::spawn(accept(listener, name, agent.clone())))
+        .zip([Some("near"), Some("far"), None])
+        .map(|(listener, server_name)| tokio::spawn(accept_connections(listener, server_name, state.clone())))
         .collect();
     for task in tasks {
         let _ = task.await;
     }
 }
 
-async fn accept(listener: TcpListener, name: &'static str, agent: Arc<Agent>) -> Result<()> {
+/// Accepts connections as a server of the given name, or as discovery.
+async fn accept_connections(
+    listener: TcpListener,
+    server_name: Option<&'static str>,
+    state: Arc<StubState>,
+) -> Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
-        let agent = agent.clone();
+        let state = state.clone();
         tokio::spawn(async move {
-            if name.is_empty() {
-                return agent.watched(stream).await;
-            }
-            agent.connections.fetch_add(1, Ordering::SeqCst);
-            let end = serve(stream, name, &agent).await;
-            agent.connections.fetch_sub(1, Ordering::SeqCst);
-            end
+            let Some(server_name) = server_name else {
+                return state.serve_watch(stream).await;
+            };
+            state.connections.fetch_add(1, Ordering::SeqCst);
+            let result = serve_requests(stream, server_name, &state).await;
+            state.connections.fetch_sub(1, Ordering::SeqCst);
+            result
         });
     }
 }
 
-/// Reads the head of a message; all messages to these stand-ins are heads alone.
-async fn head(stream: &mut tokio::net::TcpStream, buffer: &mut Vec<u8>) -> Result<String> {
+/// Reads the head of a request. Requests to the stubs have no bodies.
+async fn read_head(stream: &mut tokio::net::TcpStream, buffer: &mut Vec<u8>) -> Result<String> {
     loop {
         if let Some(at) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
             let head = buffer.drain(..at + 4).collect();
             return Ok(String::from_utf8(head)?);
         }
-        ensure!(stream.read_buf(buffer).await? > 0, "the other side closed");
+        ensure!(stream.read_buf(buffer).await? > 0, "connection closed before the end of a request head");
     }
 }
 
-/// A ticket server's connection: answers at once with its name and a report.
-async fn serve(mut stream: tokio::net::TcpStream, name: &str, agent: &Agent) -> Result<()> {
+/// Answers the requests on a server's connection at once, with the server's name and a load report.
+async fn serve_requests(
+    mut stream: tokio::net::TcpStream,
+    server_name: &str,
+    state: &StubState,
+) -> Result<()> {
     let mut buffer = Vec::new();
     let load = "TEXT inflight=2, eps=0, util=0.4";
-    let answer = |body: &str| {
+    let response = |body: &str| {
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Server-Load: {load}\r\n\r\n{body}", body.len())
     };
     loop {
-        let head = head(&mut stream, &mut buffer).await?;
-        let probe = head.starts_with("GET /metrics/load ");
-        agent.probes.fetch_add(u64::from(probe), Ordering::SeqCst);
-        let body = if probe { load } else { name };
-        stream.write_all(answer(body).as_bytes()).await?;
+        let head = read_head(&mut stream, &mut buffer).await?;
+        let is_probe = head.starts_with("GET /metrics/load ");
+        state.probes.fetch_add(u64::from(is_probe), Ordering::SeqCst);
+        let body = if is_probe { load } else { server_name };
+        stream.write_all(response(body).as_bytes()).await?;
     }
 }
 
-impl Agent {
-    async fn watched(&self, mut stream: tokio::net::TcpStream) -> Result<()> {
-        let request = head(&mut stream, &mut Vec::new()).await?;
-        let from = request.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
-        let (tell, mut told) = mpsc::unbounded_channel();
-        lock(&self.watches).push(tell);
-        self.say(&mut stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        if from != Some(self.seq.load(Ordering::SeqCst)) {
-            let first = chunk(&lock(&self.first));
-            self.say(&mut stream, &first).await?;
+impl StubState {
+    async fn serve_watch(&self, mut stream: tokio::net::TcpStream) -> Result<()> {
+        let request = read_head(&mut stream, &mut Vec::new()).await?;
+        let from_seq =
+            request.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
+        let (sender, mut updates) = mpsc::unbounded_channel();
+        lock(&self.watches).push(sender);
+        self.write_watch(&mut stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        if from_seq != Some(self.seq.load(Ordering::SeqCst)) {
+            let initial_list = chunk(&lock(&self.initial_list));
+            self.write_watch(&mut stream, &initial_list).await?;
         }
         loop {
-            match tokio::time::timeout(ALIVE_EVERY, told.recv()).await {
-                Ok(Some(line)) => self.say(&mut stream, &chunk(&line)).await?,
+            match tokio::time::timeout(KEEPALIVE_INTERVAL, updates.recv()).await {
+                Ok(Some(line)) => self.write_watch(&mut stream, &chunk(&line)).await?,
                 Ok(None) => return Ok(()),
-                Err(_) => self.say(&mut stream, &chunk("")).await?,
+                Err(_) => self.write_watch(&mut stream, &chunk("")).await?,
             }
         }
     }
 
-    async fn say(&self, stream: &mut tokio::net::TcpStream, text: &str) -> Result<()> {
+    async fn write_watch(&self, stream: &mut tokio::net::TcpStream, text: &str) -> Result<()> {
         stream.write_all(text.as_bytes()).await?;
-        self.bytes.fetch_add(text.len() as u64, Ordering::SeqCst);
+        self.watch_bytes.fetch_add(text.len() as u64, Ordering::SeqCst);
         Ok(())
     }
 }
 
-/// The real program.
+/// A running process of the program, killed on drop.
 struct Sidecar {
     child: Child,
     address: SocketAddr,
-    file: PathBuf,
-    /// From its start until it answered that it is up.
-    ready_in: Duration,
+    config_file: PathBuf,
+    /// Time from its start until it reported that it is up.
+    startup: Duration,
 }
 
 impl Sidecar {
-    /// Starts it with the list in its configuration, or with none.
-    fn start(stage: &Stage, known: bool) -> Result<Sidecar> {
-        let known = if known { lock(&stage.agent.first).clone() } else { "null".to_owned() };
-        let zones: Vec<String> = (0..=ZONES).map(|zone| format!("\"z{zone}\"")).collect();
+    /// Starts the program, with or without the host list in its configuration, and waits until it is up.
+    fn start(stubs: &Stubs, with_list: bool) -> Result<Sidecar> {
+        let known = if with_list { lock(&stubs.state.initial_list).clone() } else { "null".to_owned() };
+        let zones: Vec<String> = (0..=REMOTE_ZONES).map(|zone| format!("\"z{zone}\"")).collect();
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":128,"sockets":1024}},"known":{known},"settings":{{
@@ -270,56 +297,57 @@
 "fall_multiple":2.5,"must_ask_in":400.0,"warm_up":20000.0}},"kinds":["m2"],"membership_mode":"automatic",
 "peers_total":{},"period":5.0,"rank":{},"telemetry":{{"columns":["inflight","eps","util"],"how":"piggyback"}},
 "tenants":[],"zone":0}}}}"#,
-            stage.discovery,
+            stubs.discovery,
             zones.join(","),
-            stage.size.sidecars,
-            stage.size.sidecars / 3
+            stubs.size.sidecars,
+            stubs.size.sidecars / 3
         );
-        let name = format!("slopes-{}-{}.json", std::process::id(), stage.discovery.port());
-        let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        File::create(&file)?.write_all(config.as_bytes())?;
+        let file_name = format!("slopes-{}-{}.json", std::process::id(), stubs.discovery.port());
+        let config_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file_name);
+        File::create(&config_file)?.write_all(config.as_bytes())?;
         let start = Instant::now();
         let mut child = Command::new(env!("CARGO_BIN_EXE_sagemast"))
-            .env("ROUTER_CONFIG", &file)
+            .env("ROUTER_CONFIG", &config_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let mut errors = BufReader::new(child.stderr.take().context("standard error is piped")?);
-        let mut sidecar = Sidecar { child, address: stage.near, file, ready_in: Duration::ZERO };
+        let mut log = BufReader::new(child.stderr.take().context("standard error is not piped")?);
+        let mut sidecar = Sidecar { child, address: stubs.near, config_file, startup: Duration::ZERO };
         let mut line = String::new();
         sidecar.address = loop {
             line.clear();
-            ensure!(errors.read_line(&mut line)? > 0, "the program ended");
-            if let Some((_, at)) = line.split_once("listening on ") {
-                break at.trim().parse()?;
+            ensure!(log.read_line(&mut line)? > 0, "sidecar exited before it listened");
+            if let Some((_, address)) = line.split_once("listening on ") {
+                break address.trim().parse()?;
             }
         };
-        std::thread::spawn(move || std::io::copy(&mut errors, &mut std::io::sink()));
-        while !Client::to(sidecar.address)?.ask("/up")?.starts_with("HTTP/1.1 200") {
-            ensure!(start.elapsed() < FOREVER, "the program is not up");
+        std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
+        while !Client::connect(sidecar.address)?.get("/up")?.starts_with("HTTP/1.1 200") {
+            ensure!(start.elapsed() < TIMEOUT, "sidecar did not report that it is up within {TIMEOUT:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
-        sidecar.ready_in = start.elapsed();
+        sidecar.startup = start.elapsed();
         Ok(sidecar)
     }
 
-    /// Processor time so far, once it has nothing more to do.
-    fn cpu(&self) -> Result<f64> {
-        let (mut before, mut quiet) = (cpu_us(self.child.id())?, 0);
+    /// Waits until the program is idle and returns its CPU time so far, in microseconds.
+    fn cpu_us_when_idle(&self) -> Result<f64> {
+        let (mut previous, mut unchanged_samples) = (cpu_us(self.child.id())?, 0);
         let start = Instant::now();
-        while quiet < 3 {
-            ensure!(start.elapsed() < FOREVER, "the program does not come to rest");
+        while unchanged_samples < 3 {
+            ensure!(start.elapsed() < TIMEOUT, "sidecar did not become idle within {TIMEOUT:?}");
             std::thread::sleep(Duration::from_millis(15));
-            let now = cpu_us(self.child.id())?;
-            quiet = if now == before { quiet + 1 } else { 0 };
-            before = now;
+            let current = cpu_us(self.child.id())?;
+            unchanged_samples = if current == previous { unchanged_samples + 1 } else { 0 };
+            previous = current;
         }
-        Ok(before)
+        Ok(previous)
     }
 
-    fn memory(&self, name: &str) -> Result<f64> {
-        status_kib(self.child.id(), name)
+    /// A memory value of `/proc/PID/status`.
+    fn memory_kib(&self, field: &str) -> Result<f64> {
+        status_kib(self.child.id(), field)
     }
 }
 
@@ -327,180 +355,223 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
-/// A client with one connection.
+/// An HTTP client with a single connection.
 struct Client {
     stream: TcpStream,
-    next: u64,
+    last_request_id: u64,
 }
 
 impl Client {
-    fn to(address: SocketAddr) -> Result<Client> {
+    fn connect(address: SocketAddr) -> Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(FOREVER))?;
-        Ok(Client { stream, next: 0 })
+        stream.set_read_timeout(Some(TIMEOUT))?;
+        Ok(Client { stream, last_request_id: 0 })
     }
 
-    /// The whole answer to a request.
-    fn ask(&mut self, path: &str) -> Result<String> {
-        self.next += 1;
+    /// Sends a GET request and returns the complete response.
+    fn get(&mut self, path: &str) -> Result<String> {
+        self.last_request_id += 1;
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: {:016x}\r\nX-Priority-Class: fetch\r\n\
              X-Timeout-Ms: 6000\r\n\r\n",
-            self.next
+            self.last_request_id
         );
         self.stream.write_all(request.as_bytes())?;
-        let (mut answer, mut piece) = (Vec::new(), [0; 4096]);
+        let (mut response, mut buffer) = (Vec::new(), [0; 4096]);
         loop {
-            let read = self.stream.read(&mut piece)?;
-            ensure!(read > 0, "the other side closed");
-            answer.extend_from_slice(&piece[..read]);
-            let text = String::from_utf8_lossy(&answer);
+            let read = self.stream.read(&mut buffer)?;
+            ensure!(read > 0, "connection closed before the end of the response to GET {path}");
+            response.extend_from_slice(&buffer[..read]);
+            let text = String::from_utf8_lossy(&response);
             let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
-            let length = head.lines().find_map(|line| {
+            let content_length = head.lines().find_map(|line| {
                 let (name, value) = line.split_once(':')?;
                 name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse().ok()).flatten()
             });
-            if body.len() >= length.unwrap_or(0) {
+            if body.len() >= content_length.unwrap_or(0) {
                 return Ok(text.into_owned());
             }
         }
     }
 
-    /// Which of the servers answered a call.
-    fn call(&mut self) -> Result<bool> {
-        let answer = self.ask("/fetch?k=7f3a9c21")?;
-        match answer.split_once("\r\n\r\n").map(|(_, body)| body) {
+    /// Makes one call. Returns whether the near server answered it.
+    fn call_reaches_near(&mut self) -> Result<bool> {
+        let response = self.get("/fetch?k=7f3a9c21")?;
+        match response.split_once("\r\n\r\n").map(|(_, body)| body) {
             Some("near") => Ok(true),
             Some("far") => Ok(false),
-            _ => bail!("no server answered: {}", answer.lines().next().unwrap_or_default()),
+            _ => bail!("call was not answered by a server: {}", response.lines().next().unwrap_or_default()),
         }
     }
 }
 
-/// One run at all sizes. They are left alone together at its end, as that takes time and nothing else.
-pub fn run(plan: &Plan, sizes: &[Size], runs: &mut Vec<Run>) -> Result<()> {
-    let mut left = Vec::new();
+/// A sidecar and its stubs.
+struct Deployment {
+    stubs: Stubs,
+    sidecar: Sidecar,
+}
+
+struct Counters {
+    watch_bytes: f64,
+    cpu_us: f64,
+}
+
+impl Deployment {
+    fn counters(&self) -> Result<Counters> {
+        Ok(Counters {
+            watch_bytes: self.stubs.state.watch_bytes.load(Ordering::SeqCst) as f64,
+            cpu_us: cpu_us(self.sidecar.child.id())?,
+        })
+    }
+}
+
+/// Performs one run at all sizes. The idle costs are measured last and for all sizes at the same time, as each takes
+/// seconds of waiting.
+pub fn run(workload: &Workload, sizes: &[Size], results: &mut Vec<RunResult>) -> Result<()> {
+    let mut deployments = Vec::new();
     for size in sizes {
-        left.push(
-            one(plan, *size, runs)
+        deployments.push(
+            run_size(workload, *size, results)
                 .with_context(|| format!("{} servers, {} sidecars", size.servers, size.sidecars))?,
         );
     }
-    if ![IDLE_BYTES, IDLE_CPU].iter().any(|name| plan.wants(name)) {
+    if ![IDLE_BYTES, IDLE_CPU].iter().any(|name| workload.selects(name)) {
         return Ok(());
     }
-    let state = |(stage, sidecar): &(Stage, Sidecar)| -> Result<[f64; 2]> {
-        Ok([stage.agent.bytes.load(Ordering::SeqCst) as f64, cpu_us(sidecar.child.id())?])
-    };
-    let before = left.iter().map(state).collect::<Result<Vec<_>>>()?;
+    let counters_before = deployments.iter().map(Deployment::counters).collect::<Result<Vec<_>>>()?;
     let start = Instant::now();
-    std::thread::sleep(Duration::from_secs_f64(plan.idle_s));
-    for (each, before) in left.iter().zip(before) {
-        let (after, seconds) = (state(each)?, start.elapsed().as_secs_f64());
-        let names = [(IDLE_BYTES, "B/s"), (IDLE_CPU, "us/s")];
-        for (at, (name, unit)) in names.into_iter().enumerate().filter(|(_, (name, _))| plan.wants(name)) {
-            let value = (after[at] - before[at]) / seconds;
-            runs.push(Run { name, unit, size: each.0.size, value, samples: None });
+    std::thread::sleep(Duration::from_secs_f64(workload.idle_s));
+    for (deployment, before) in deployments.iter().zip(counters_before) {
+        let (after, seconds) = (deployment.counters()?, start.elapsed().as_secs_f64());
+        let increases = [
+            (IDLE_BYTES, "B/s", after.watch_bytes - before.watch_bytes),
+            (IDLE_CPU, "us/s", after.cpu_us - before.cpu_us),
+        ];
+        for (name, unit, increase) in increases.into_iter().filter(|(name, _, _)| workload.selects(name)) {
+            let value = increase / seconds;
+            results.push(RunResult { name, unit, size: deployment.stubs.size, value, samples: None });
         }
     }
     Ok(())
 }
 
-/// One run at one size; what it leaves running.
-fn one(plan: &Plan, size: Size, runs: &mut Vec<Run>) -> Result<(Stage, Sidecar)> {
-    let stage = Stage::new(size)?;
-    let mut add = |run: Run| {
-        if plan.wants(run.name) {
-            runs.push(run);
+/// Performs one run at one size. Returns the deployment, which is still running.
+fn run_size(workload: &Workload, size: Size, results: &mut Vec<RunResult>) -> Result<Deployment> {
+    let stubs = Stubs::start(size)?;
+    let mut add = |result: RunResult| {
+        if workload.selects(result.name) {
+            results.push(result);
         }
     };
-    let single = |name, unit, value| Run { name, unit, size, value, samples: None };
-    let millis = |span: Duration| span.as_secs_f64() * 1e3;
-    if plan.wants(START_UNKNOWN) {
-        add(single(START_UNKNOWN, "ms", millis(Sidecar::start(&stage, false)?.ready_in)));
+    let single_value = |name, unit, value| RunResult { name, unit, size, value, samples: None };
+    let to_ms = |duration: Duration| duration.as_secs_f64() * 1e3;
+    if workload.selects(START_WITHOUT_LIST) {
+        add(single_value(START_WITHOUT_LIST, "ms", to_ms(Sidecar::start(&stubs, false)?.startup)));
     }
-    let sidecar = Sidecar::start(&stage, true)?;
-    add(single(START_KNOWN, "ms", millis(sidecar.ready_in)));
-    let idle = sidecar.cpu()?;
-    add(single(MEMORY_LIST, "KiB", sidecar.memory("VmRSS")?));
-    let mut client = Client::to(sidecar.address)?;
-    if [CALL_TIME, CALL_DIRECT, CALL_CPU, CONNECTIONS, PROBES, MEMORY_CALLS]
+    let sidecar = Sidecar::start(&stubs, true)?;
+    add(single_value(START_WITH_LIST, "ms", to_ms(sidecar.startup)));
+    let startup_cpu_us = sidecar.cpu_us_when_idle()?;
+    add(single_value(MEMORY_LIST, "KiB", sidecar.memory_kib("VmRSS")?));
+    let mut client = Client::connect(sidecar.address)?;
+    if [CALL_TIME, CALL_WITHOUT_SIDECAR, CALL_CPU, CONNECTIONS, PROBES, MEMORY_CALLS]
         .iter()
-        .any(|name| plan.wants(name))
+        .any(|name| workload.selects(name))
     {
-        let mut direct = Client::to(stage.far)?;
-        paced(plan.calls_s[0], &mut client, &mut direct)?;
-        let before = sidecar.cpu()?.max(idle);
-        let probes = || stage.agent.probes.load(Ordering::SeqCst) as f64;
+        let mut direct_client = Client::connect(stubs.far)?;
+        make_calls(workload.call_warm_up_s, &mut client, &mut direct_client)?;
+        let cpu_us_before = sidecar.cpu_us_when_idle()?.max(startup_cpu_us);
+        let probes = || stubs.state.probes.load(Ordering::SeqCst) as f64;
         let probes_before = probes();
-        let (through, without) = paced(plan.calls_s[1], &mut client, &mut direct)?;
-        let calls = (plan.calls_s[1] * MEAN_RATE).floor();
-        add(single(CALL_CPU, "us", (sidecar.cpu()? - before) / calls));
-        // The client's own, which goes past the sidecar, does not count.
-        let connections = stage.agent.connections.load(Ordering::SeqCst).saturating_sub(1);
-        add(single(CONNECTIONS, "open", connections as f64));
-        add(single(PROBES, "/s", (probes() - probes_before) / plan.calls_s[1]));
-        add(single(MEMORY_CALLS, "KiB", sidecar.memory("VmRSS")?));
-        for (name, times) in [(CALL_TIME, through), (CALL_DIRECT, without)] {
-            times.run(name, size).into_iter().for_each(&mut add);
+        let (sidecar_times, direct_times) =
+            make_calls(workload.call_measurement_s, &mut client, &mut direct_client)?;
+        let calls = (workload.call_measurement_s * MEAN_REQUESTS_PER_S).floor();
+        add(single_value(CALL_CPU, "us", (sidecar.cpu_us_when_idle()? - cpu_us_before) / calls));
+        // Excludes the connection of the direct client.
+        let connections = stubs.state.connections.load(Ordering::SeqCst).saturating_sub(1);
+        add(single_value(CONNECTIONS, "open", connections as f64));
+        add(single_value(PROBES, "/s", (probes() - probes_before) / workload.call_measurement_s));
+        add(single_value(MEMORY_CALLS, "KiB", sidecar.memory_kib("VmRSS")?));
+        for (name, times) in [(CALL_TIME, sidecar_times), (CALL_WITHOUT_SIDECAR, direct_times)] {
+            times.run_result(name, size).into_iter().for_each(&mut add);
         }
     }
-    for (whole, [bytes_name, cpu_name, time_name]) in
-        [(false, [CHANGE_BYTES, CHANGE_CPU, CHANGE_TIME]), (true, [WHOLE_BYTES, WHOLE_CPU, WHOLE_TIME])]
-    {
-        if ![bytes_name, cpu_name, time_name, MEMORY_END, MEMORY_PEAK].iter().any(|name| plan.wants(name)) {
+    for (as_snapshot, [bytes_name, cpu_name, propagation_name]) in [
+        (false, [CHANGE_BYTES, CHANGE_CPU, CHANGE_PROPAGATION]),
+        (true, [SNAPSHOT_BYTES, SNAPSHOT_CPU, SNAPSHOT_PROPAGATION]),
+    ] {
+        if ![bytes_name, cpu_name, propagation_name, MEMORY_END, MEMORY_PEAK]
+            .iter()
+            .any(|name| workload.selects(name))
+        {
             continue;
         }
-        let health = |number: u64| if number.is_multiple_of(2) { "ready" } else { "draining" };
-        let before = sidecar.cpu()?;
-        let (count, mut bytes) = (plan.lists * if whole { 1 } else { 5 }, 0);
-        // With the agent's writing done and the program at rest before the next.
+        let near_health = |number: u64| if number.is_multiple_of(2) { "ready" } else { "draining" };
+        let cpu_us_before = sidecar.cpu_us_when_idle()?;
+        let (count, mut bytes) = (workload.list_updates * if as_snapshot { 1 } else { 5 }, 0);
+        // The pauses let the stub finish writing and the program become idle before the next update.
         for number in 0..count {
-            bytes = stage.tell(whole, health(number));
-            std::thread::sleep(Duration::from_millis(if whole { 30 } else { 8 }));
+            bytes = stubs.publish(as_snapshot, near_health(number));
+            std::thread::sleep(Duration::from_millis(if as_snapshot { 30 } else { 8 }));
         }
-        add(single(cpu_name, "us", (sidecar.cpu()? - before) / count as f64));
-        add(single(bytes_name, "B", bytes as f64));
-        let mut times = Vec::new();
-        for number in 0..plan.lists / 2 * 2 {
-            times.push(millis(in_force(&stage, whole, health(number), &mut client)?));
+        add(single_value(cpu_name, "us", (sidecar.cpu_us_when_idle()? - cpu_us_before) / count as f64));
+        add(single_value(bytes_name, "B", bytes as f64));
+        let mut propagation_times_ms = Vec::new();
+        for number in 0..workload.list_updates / 2 * 2 {
+            propagation_times_ms.push(to_ms(measure_propagation(
+                &stubs,
+                as_snapshot,
+                near_health(number),
+                &mut client,
+            )?));
         }
-        add(single(time_name, "ms", median(&times)));
+        add(single_value(propagation_name, "ms", median(&propagation_times_ms)));
     }
-    add(single(MEMORY_END, "KiB", sidecar.memory("VmRSS")?));
-    add(single(MEMORY_PEAK, "KiB", sidecar.memory("VmHWM")?));
-    Ok((stage, sidecar))
+    add(single_value(MEMORY_END, "KiB", sidecar.memory_kib("VmRSS")?));
+    add(single_value(MEMORY_PEAK, "KiB", sidecar.memory_kib("VmHWM")?));
+    Ok(Deployment { stubs, sidecar })
 }
 
-/// Calls at the mean rate for so long, each through the sidecar and once more without it.
-fn paced(seconds: f64, client: &mut Client, direct: &mut Client) -> Result<(Times, Times)> {
-    let (mut through, mut without) = (Times::new(), Times::new());
-    let begun = Instant::now();
-    for number in 0..(seconds * MEAN_RATE) as u64 {
-        let due = begun + Duration::from_secs_f64(number as f64 / MEAN_RATE);
-        std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        for (client, times) in [(&mut *client, &mut through), (&mut *direct, &mut without)] {
-            let start = Instant::now();
-            client.call()?;
-            times.add(start.elapsed().as_nanos() as u64);
+/// Makes calls at the mean rate, each once through the sidecar and once directly to a server. Returns the times of both
+/// in this order.
+fn make_calls(
+    seconds: f64,
+    sidecar_client: &mut Client,
+    direct_client: &mut Client,
+) -> Result<(LatencyHistogram, LatencyHistogram)> {
+    let (mut sidecar_times, mut direct_times) = (LatencyHistogram::new(), LatencyHistogram::new());
+    let start = Instant::now();
+    for number in 0..(seconds * MEAN_REQUESTS_PER_S) as u64 {
+        let scheduled_at = start + Duration::from_secs_f64(number as f64 / MEAN_REQUESTS_PER_S);
+        std::thread::sleep(scheduled_at.saturating_duration_since(Instant::now()));
+        for (client, times) in
+            [(&mut *sidecar_client, &mut sidecar_times), (&mut *direct_client, &mut direct_times)]
+        {
+            let call_start = Instant::now();
+            client.call_reaches_near()?;
+            times.record(call_start.elapsed().as_nanos() as u64);
         }
     }
-    Ok((through, without))
+    Ok((sidecar_times, direct_times))
 }
 
-/// Tells a change and calls until an answer shows that it counts.
-fn in_force(stage: &Stage, whole: bool, near: &str, client: &mut Client) -> Result<Duration> {
-    std::thread::sleep(REST);
+/// Publishes the health of the near server and makes calls until a response shows that the change is in effect.
+fn measure_propagation(
+    stubs: &Stubs,
+    as_snapshot: bool,
+    near_health: &str,
+    client: &mut Client,
+) -> Result<Duration> {
+    std::thread::sleep(PAUSE_BEFORE_CHANGE);
     let start = Instant::now();
-    stage.tell(whole, near);
-    while client.call()? != (near == "ready") {
-        ensure!(start.elapsed() < FOREVER, "a change never came into force");
-        std::thread::sleep(TRY_EVERY);
+    stubs.publish(as_snapshot, near_health);
+    while client.call_reaches_near()? != (near_health == "ready") {
+        ensure!(start.elapsed() < TIMEOUT, "a change was not in effect within {TIMEOUT:?}");
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(start.elapsed())
 }
--- a/benches/slopes/stats.rs
+++ b/benches/slopes/stats.rs
@@ -1,125 +1,127 @@
-//! Figures of a run, their spread over runs, and how they grow with the number of servers.
+//! Results of single runs, their statistics over all runs, and fits of their growth with the number of servers.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How large the deployment is.
+/// The size of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Size {
-    /// Servers in the list.
+    /// Servers in the list of each sidecar.
     pub servers: u64,
     /// Sidecars that share them.
     pub sidecars: u64,
 }
 
-/// What one run gave for one measurement at one size.
+/// The result of one run of a measurement at one size.
 #[derive(Debug, Clone, Serialize)]
-pub struct Run {
-    /// The measurement.
+pub struct RunResult {
+    /// The name of the measurement.
     pub name: &'static str,
-    /// The unit of all its figures.
+    /// The unit of the value and the samples.
     pub unit: &'static str,
-    /// Servers and sidecars.
+    /// The size of the deployment.
     #[serde(flatten)]
     pub size: Size,
-    /// The figure of this run: the median over its samples where it has many, else the one there is.
+    /// The median of the samples, or the single value that was measured.
     pub value: f64,
-    /// Mean, 99th percentile and number of the samples, where there are many.
+    /// Statistics of the samples, if there are several.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub samples: Option<Samples>,
 }
 
-/// The samples of one run.
+/// Statistics of the samples of one run.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Samples {
-    /// How many.
+    /// The number of samples.
     pub count: u64,
-    /// Mean; on a shared machine it holds the time in which others ran.
+    /// The mean. On a shared machine it includes times at which other processes ran.
     pub mean: f64,
-    /// 99th percentile, likewise.
+    /// The 99th percentile. It includes such times as well.
     pub p99: f64,
 }
 
-/// Times of single operations.
-pub struct Times(Histogram<u64>);
+/// A histogram of the durations of single operations, in nanoseconds.
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Times {
-    /// None yet.
-    pub fn new() -> Times {
-        // Up to a minute in three significant digits.
-        Times(Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("such bounds are allowed"))
+impl LatencyHistogram {
+    /// Creates an empty histogram.
+    pub fn new() -> LatencyHistogram {
+        // Up to one minute, with three significant digits.
+        LatencyHistogram(
+            Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("histogram bounds are valid"),
+        )
     }
 
-    /// Adds one, in nanoseconds.
-    pub fn add(&mut self, nanos: u64) {
-        self.0.saturating_record(nanos.max(1));
+    /// Adds a duration.
+    pub fn record(&mut self, duration_ns: u64) {
+        self.0.saturating_record(duration_ns.max(1));
     }
 
-    /// As one run's figures in microseconds; `None` where nothing was measured.
-    pub fn run(&self, name: &'static str, size: Size) -> Option<Run> {
+    /// The result of a run in microseconds; `None` if no duration was recorded.
+    pub fn run_result(&self, name: &'static str, size: Size) -> Option<RunResult> {
         if self.0.is_empty() {
             return None;
         }
-        let micros = |nanos: f64| nanos / 1e3;
+        let to_us = |ns: f64| ns / 1e3;
         let samples = Samples {
             count: self.0.len(),
-            mean: micros(self.0.mean()),
-            p99: micros(self.0.value_at_quantile(0.99) as f64),
+            mean: to_us(self.0.mean()),
+            p99: to_us(self.0.value_at_quantile(0.99) as f64),
         };
-        let value = micros(self.0.value_at_quantile(0.5) as f64);
-        Some(Run { name, unit: "us", size, value, samples: Some(samples) })
+        let value = to_us(self.0.value_at_quantile(0.5) as f64);
+        Some(RunResult { name, unit: "us", size, value, samples: Some(samples) })
     }
 }
 
-/// One measurement at one size over all runs.
+/// Statistics of a measurement at one size over all runs.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// Servers and sidecars.
+    /// The size of the deployment.
     #[serde(flatten)]
     pub size: Size,
-    /// How many runs.
+    /// The number of runs.
     pub runs: usize,
-    /// Over the runs' figures.
+    /// The minimum over the runs.
     pub min: f64,
-    /// Likewise.
+    /// The median over the runs.
     pub median: f64,
-    /// Likewise.
+    /// The maximum over the runs.
     pub max: f64,
     /// The median of the runs' 99th percentiles.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub p99: Option<f64>,
 }
 
-/// One measurement at all sizes.
+/// Statistics of a measurement at all sizes.
 #[derive(Debug, Clone, Serialize)]
 pub struct Table {
-    /// The measurement.
+    /// The name of the measurement.
     pub name: &'static str,
-    /// The unit.
+    /// The unit of all values.
     pub unit: &'static str,
-    /// By size, in the order in which they were measured.
+    /// One row per size, in the order of measurement.
     pub rows: Vec<Row>,
-    /// How the medians grow.
+    /// The growth of the medians; `None` if fewer than two sizes were measured.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slope: Option<Slope>,
 }
 
-/// Least squares over the medians.
+/// Least-squares fits of the medians against the number of servers.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Slope {
-    /// On log-log: cost ~ servers^k. `None` where a median is not above 0.
+    /// The exponent of the power law cost ~ servers^k; `None` if a median is not positive.
     pub k: Option<f64>,
-    /// The same from the last size but one to the last alone, where what costs the same at any size weighs least.
+    /// The exponent between the last two sizes, where constant costs have the least influence.
     pub k_last: Option<f64>,
-    /// On a line: what it costs without any server...
+    /// The intercept of the linear fit: the cost without servers.
     pub base: f64,
-    /// ...and what each thousand more cost.
+    /// The slope of the linear fit: the cost of each thousand servers.
     pub per_1000: f64,
 }
 
-/// The middle of some figures.
+/// The median of some values; NaN if there are none.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -131,130 +133,150 @@
     }
 }
 
-/// Puts the runs together, measurement by measurement.
-pub fn tables(runs: &[Run]) -> Vec<Table> {
+/// Groups the results into one table per measurement.
+pub fn tables(results: &[RunResult]) -> Vec<Table> {
     let mut order: Vec<&'static str> = Vec::new();
-    let mut grouped: BTreeMap<&'static str, Vec<&Run>> = BTreeMap::new();
-    for run in runs {
-        if !order.contains(&run.name) {
-            order.push(run.name);
+    let mut grouped: BTreeMap<&'static str, Vec<&RunResult>> = BTreeMap::new();
+    for result in results {
+        if !order.contains(&result.name) {
+            order.push(result.name);
         }
-        grouped.entry(run.name).or_default().push(run);
+        grouped.entry(result.name).or_default().push(result);
     }
     order.iter().map(|name| table(&grouped[name])).collect()
 }
 
-fn table(runs: &[&Run]) -> Table {
+fn table(results: &[&RunResult]) -> Table {
     let mut sizes: Vec<Size> = Vec::new();
-    for run in runs {
-        if !sizes.contains(&run.size) {
-            sizes.push(run.size);
+    for result in results {
+        if !sizes.contains(&result.size) {
+            sizes.push(result.size);
         }
     }
-    let rows: Vec<Row> = sizes.into_iter().map(|size| row(size, runs)).collect();
-    Table { name: runs[0].name, unit: runs[0].unit, slope: slope(&rows), rows }
+    let rows: Vec<Row> = sizes.into_iter().map(|size| row(size, results)).collect();
+    Table { name: results[0].name, unit: results[0].unit, slope: slope(&rows), rows }
 }
 
-fn row(size: Size, runs: &[&Run]) -> Row {
-    let here: Vec<&&Run> = runs.iter().filter(|run| run.size == size).collect();
-    let values: Vec<f64> = here.iter().map(|run| run.value).collect();
-    let tails: Vec<f64> = here.iter().filter_map(|run| run.samples).map(|samples| samples.p99).collect();
+fn row(size: Size, results: &[&RunResult]) -> Row {
+    let at_size: Vec<&&RunResult> = results.iter().filter(|result| result.size == size).collect();
+    let values: Vec<f64> = at_size.iter().map(|result| result.value).collect();
+    let p99s: Vec<f64> =
+        at_size.iter().filter_map(|result| result.samples).map(|samples| samples.p99).collect();
     Row {
         size,
         runs: values.len(),
         min: values.iter().copied().fold(f64::INFINITY, f64::min),
         median: median(&values),
         max: values.iter().copied().fold(f64::NEG_INFINITY, f64::max),
-        p99: (!tails.is_empty()).then(|| median(&tails)),
+        p99: (!p99s.is_empty()).then(|| median(&p99s)),
     }
 }
 
-/// Needs two sizes at least.
+struct Point {
+    x: f64,
+    y: f64,
+}
+
+struct Line {
+    intercept: f64,
+    slope: f64,
+}
+
+/// Fits the medians; `None` if there are fewer than two sizes.
 fn slope(rows: &[Row]) -> Option<Slope> {
-    let points = |scale: fn(f64) -> f64| -> Vec<(f64, f64)> {
-        rows.iter().map(|row| (scale(row.size.servers as f64), scale(row.median))).collect()
+    let points = |scale: fn(f64) -> f64| -> Vec<Point> {
+        rows.iter().map(|row| Point { x: scale(row.size.servers as f64), y: scale(row.median) }).collect()
     };
-    let (base, per_server) = line(&points(|x| x))?;
-    let logs = points(f64::ln);
-    let exponent = |points: &[(f64, f64)]| line(points).map(|(_, k)| k).filter(|k| k.is_finite());
-    let (k, k_last) = (exponent(&logs), exponent(&logs[logs.len().saturating_sub(2)..]));
-    Some(Slope { k, k_last, base, per_1000: per_server * 1_000.0 })
+    let linear_fit = fit_line(&points(|value| value))?;
+    let log_points = points(f64::ln);
+    let exponent = |points: &[Point]| fit_line(points).map(|line| line.slope).filter(|k| k.is_finite());
+    let (k, k_last) = (exponent(&log_points), exponent(&log_points[log_points.len().saturating_sub(2)..]));
+    Some(Slope { k, k_last, base: linear_fit.intercept, per_1000: linear_fit.slope * 1_000.0 })
 }
 
-/// Intercept and slope of the line through some points by least squares.
-fn line(points: &[(f64, f64)]) -> Option<(f64, f64)> {
+/// The least-squares line through some points; `None` if all have the same x.
+fn fit_line(points: &[Point]) -> Option<Line> {
     let count = points.len() as f64;
-    let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), point| (x + point.0 / count, y + point.1 / count));
-    let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
-    if spread <= 0.0 {
+    let (mean_x, mean_y) =
+        points.iter().fold((0.0, 0.0), |(x, y), point| (x + point.x / count, y + point.y / count));
+    let sum_of_squares: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+    if sum_of_squares <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum::<f64>() / spread;
-    Some((y - slope * x, slope))
+    let sum_of_products = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum::<f64>();
+    let slope = sum_of_products / sum_of_squares;
+    Some(Line { intercept: mean_y - slope * mean_x, slope })
 }
 
-/// Prints a measurement as a plain table.
-pub fn print(table: &Table) {
+/// Prints a measurement as a plain text table.
+pub fn print_table(table: &Table) {
     println!("{} [{}]", table.name, table.unit);
     println!(
         "  {:>8} {:>9} {:>5} {:>12} {:>12} {:>12} {:>12}",
         "servers", "sidecars", "runs", "min", "median", "max", "p99"
     );
     for row in &table.rows {
-        let tail = row.p99.map_or_else(|| "-".to_owned(), number);
+        let p99 = row.p99.map_or_else(|| "-".to_owned(), format_number);
         println!(
             "  {:>8} {:>9} {:>5} {:>12} {:>12} {:>12} {:>12}",
             row.size.servers,
             row.size.sidecars,
             row.runs,
-            number(row.min),
-            number(row.median),
-            number(row.max),
-            tail
+            format_number(row.min),
+            format_number(row.median),
+            format_number(row.max),
+            p99
         );
     }
     if let Some(slope) = table.slope {
-        let shown = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
+        let format_exponent = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
         println!(
             "  k {} (last two sizes {}), base {}, per 1,000 servers {}",
-            shown(slope.k),
-            shown(slope.k_last),
-            number(slope.base),
-            number(slope.per_1000)
+            format_exponent(slope.k),
+            format_exponent(slope.k_last),
+            format_number(slope.base),
+            format_number(slope.per_1000)
         );
     }
     println!();
 }
 
-/// Prints all medians as one table; at the last size with the smallest and the largest run and the 99th percentile.
+/// Prints the medians of all measurements as one Markdown table. The minimum, maximum and 99th percentile are those of
+/// the last size.
 pub fn print_markdown(tables: &[Table], sizes: &[Size]) {
-    let heads: String = sizes.iter().map(|size| format!(" {} |", size.servers)).collect();
-    println!("\n| measurement | unit |{heads} min to max | p99 | k | k, last two | per 1,000 |");
+    let size_headings: String = sizes.iter().map(|size| format!(" {} |", size.servers)).collect();
+    println!("\n| measurement | unit |{size_headings} min to max | p99 | k | k, last two | per 1,000 |");
     println!("|{}", " --- |".repeat(sizes.len() + 7));
     for table in tables {
-        let medians: String = table.rows.iter().map(|row| format!(" {} |", number(row.median))).collect();
+        let median_cells: String =
+            table.rows.iter().map(|row| format!(" {} |", format_number(row.median))).collect();
         let Some(last) = table.rows.last() else { continue };
-        let tail = last.p99.map_or_else(|| "-".to_owned(), number);
-        let k = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
-        let slopes = table.slope.map_or_else(String::new, |slope| {
-            format!(" {} | {} | {} |", k(slope.k), k(slope.k_last), number(slope.per_1000))
+        let p99 = last.p99.map_or_else(|| "-".to_owned(), format_number);
+        let format_exponent = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
+        let slope_cells = table.slope.map_or_else(String::new, |slope| {
+            format!(
+                " {} | {} | {} |",
+                format_exponent(slope.k),
+                format_exponent(slope.k_last),
+                format_number(slope.per_1000)
+            )
         });
         println!(
-            "| `{}` | {} |{medians} {} to {} | {tail} |{slopes}",
+            "| `{}` | {} |{median_cells} {} to {} | {p99} |{slope_cells}",
             table.name,
             table.unit,
-            number(last.min),
-            number(last.max)
+            format_number(last.min),
+            format_number(last.max)
         );
     }
 }
 
-/// Four digits that tell something.
-fn number(value: f64) -> String {
+/// Formats a value with about four significant digits.
+fn format_number(value: f64) -> String {
     match value.abs() {
-        size if size >= 1_000.0 => format!("{value:.0}"),
-        size if size >= 10.0 => format!("{value:.1}"),
-        size if size >= 0.1 => format!("{value:.3}"),
+        magnitude if magnitude >= 1_000.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 10.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 0.1 => format!("{value:.3}"),
         _ => format!("{value:.5}"),
     }
 }
