--- a/benches/hollow/main.rs
+++ b/benches/hollow/main.rs
@@ -107,12 +107,15 @@
         let full_list = Scenario { discovery, ..full_list.clone() };
         add(format!("changes, {mode}"), base.clone());
         add(format!("changes, {mode}, all listed"), full_list.clone());
-        for (how, silent) in [("reset", false), ("silent", true)] {
+        for (failure_mode, silent) in [("reset", false), ("silent", true)] {
             let fault = Fault::DiscoveryNodeLoss { start_ms: 25_000, silent };
-            add(format!("machine {how}, {mode}"), Scenario { fault, ..base.clone() });
-            add(format!("machine {how}, {mode}, all listed"), Scenario { fault, ..full_list.clone() });
+            add(format!("machine {failure_mode}, {mode}"), Scenario { fault, ..base.clone() });
+            add(
+                format!("machine {failure_mode}, {mode}, all listed"),
+                Scenario { fault, ..full_list.clone() },
+            );
             let separate_versions = Scenario { shared_versions: false, fault, ..base.clone() };
-            add(format!("machine {how}, {mode}, versions apart"), separate_versions);
+            add(format!("machine {failure_mode}, {mode}, versions apart"), separate_versions);
         }
         let hour_ms = 3_600_000;
         let fault = Fault::RegionPartition { start_ms: 10_000, end_ms: 10_000 + hour_ms };
--- a/benches/hollow/simulation.rs
+++ b/benches/hollow/simulation.rs
@@ -175,7 +175,13 @@
 /// An update of the server list on its way to a sidecar. Changes are indices into [`Simulation::changes`].
 enum ListUpdate {
     Delta { changes: Vec<u32> },
-    Snapshot { entries: Vec<(usize, Health)>, changes: Vec<u32> },
+    Snapshot { entries: Vec<ListEntry>, changes: Vec<u32> },
+}
+
+/// An entry of a snapshot.
+struct ListEntry {
+    server: usize,
+    health: Health,
 }
 
 /// A change of the health of a server.
@@ -183,8 +189,7 @@
     server: usize,
     health: Health,
     at: Micros,
-    /// The number of sidecars that have applied it.
-    applied_count: usize,
+    /// When the last sidecar so far applied it.
     last_applied_at: Micros,
 }
 
@@ -457,21 +462,21 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Draws a time uniformly from a range in microseconds.
-    fn draw_uniform(&mut self, from: f64, to: f64) -> Micros {
-        (from + (to - from) * self.rng.rand_float()) as Micros
+    /// Draws a time from a uniform distribution.
+    fn draw_uniform(&mut self, from_us: f64, to_us: f64) -> Micros {
+        (from_us + (to_us - from_us) * self.rng.rand_float()) as Micros
     }
 
     /// Schedules the ordinary changes, the first request and the fault.
     fn schedule_scenario(&mut self) {
-        let from = self.scenario.activity_start_ms as f64 * 1e3;
-        let to = self.scenario.activity_end_ms as f64 * 1e3;
+        let activity_start_us = self.scenario.activity_start_ms as f64 * 1e3;
+        let activity_end_us = self.scenario.activity_end_ms as f64 * 1e3;
         for _ in 0..self.scenario.changes / 2 {
-            let at = self.draw_uniform(from, to);
+            let at = self.draw_uniform(activity_start_us, activity_end_us);
             self.schedule_at(at, SimulationEvent::DrainRandomServer);
         }
         if self.scenario.requests_per_s > 0.0 {
-            self.schedule_at(from as Micros, SimulationEvent::RequestArrival);
+            self.schedule_at(activity_start_us as Micros, SimulationEvent::RequestArrival);
         }
         match self.scenario.fault {
             Fault::None => {}
@@ -596,7 +601,7 @@
                 self.send_attempt(sidecar, request, upstream, timeout);
             }
             Action::Cancel { request, attempt } => {
-                // Ignored for this outcome.
+                // Only checked for successful outcomes.
                 let server_incarnation = 0;
                 self.schedule_after(
                     0,
@@ -729,7 +734,7 @@
         true
     }
 
-    /// Handles the client deadline of a request that may still be unanswered.
+    /// Handles the client deadline of a request, unless it has been answered.
     fn expire_request(&mut self, request: u64) {
         let Some(pending) = self.pending_requests.get(&request).filter(|pending| !pending.answered) else {
             return;
@@ -912,13 +917,7 @@
             Health::Gone => server.running = false,
         }
         let change = self.changes.len() as u32;
-        self.changes.push(HealthChange {
-            server: number,
-            health,
-            at: self.now,
-            applied_count: 0,
-            last_applied_at: self.now,
-        });
+        self.changes.push(HealthChange { server: number, health, at: self.now, last_applied_at: self.now });
         let home_node = self.region_of(self.servers[number].zone);
         for node in 0..self.nodes.len() {
             if self.partitioned && (node == 0) != (home_node == 0) {
@@ -985,7 +984,7 @@
             sidecar.watch_open = false;
             sidecar.incarnation += 1;
             sidecar.watch_id += 1;
-            // It restarts with the list of its configuration, which precedes all changes.
+            // After its restart it counts as having received no changes.
             sidecar.applied_changes.clear();
             sidecar.draining_since.clear();
             sidecar.log_position = 0;
@@ -1054,7 +1053,7 @@
             })
             .collect();
         for sidecar in watchers {
-            // A node that missed more changes than its history holds has no delta to send.
+            // A node that was sent more changes at once than its history holds cannot send them as a delta.
             let exceeds_history = changes.len() > self.scenario.delta_history;
             self.send_update(sidecar, node, if exceeds_history { None } else { Some(previous_log_length) });
         }
@@ -1075,12 +1074,12 @@
             }
             None => {
                 let health = &self.nodes[node].health;
-                let entries: Vec<(usize, Health)> = self
+                let entries: Vec<ListEntry> = self
                     .servers_listed_by(sidecar)
-                    .map(|server| (server, health[server]))
-                    .filter(|(_, health)| *health != Health::Gone)
+                    .map(|server| ListEntry { server, health: health[server] })
+                    .filter(|entry| entry.health != Health::Gone)
                     .collect();
-                let servers = entries.iter().map(|(server, _)| *server).collect();
+                let servers = entries.iter().map(|entry| entry.server).collect();
                 let changes = change_log.iter().filter(is_listed).copied().collect();
                 (ListUpdate::Snapshot { entries, changes }, servers)
             }
@@ -1131,9 +1130,9 @@
             }
             ListUpdate::Snapshot { entries, changes } => {
                 let records: Vec<UpstreamRecord> =
-                    entries.iter().map(|(server, health)| self.upstream_record(*server, *health)).collect();
+                    entries.iter().map(|entry| self.upstream_record(entry.server, entry.health)).collect();
                 for server in self.servers_listed_by(sidecar).collect::<Vec<_>>() {
-                    if !entries.iter().any(|(listed, _)| *listed == server) {
+                    if !entries.iter().any(|entry| entry.server == server) {
                         self.sidecars[sidecar].draining_since.entry(server as u64 + 1).or_insert(self.now);
                     }
                 }
@@ -1155,7 +1154,6 @@
             self.sidecars[sidecar].applied_changes.insert(id);
             if self.sidecars[sidecar].recorded_changes.insert(id) {
                 let change = &mut self.changes[id as usize];
-                change.applied_count += 1;
                 change.last_applied_at = self.now;
                 self.propagation_delays.record(self.now - change.at);
             }
@@ -1199,7 +1197,7 @@
         }
     }
 
-    /// Opens a watch: the node sends what the sidecar has missed, or a snapshot if it cannot tell.
+    /// Opens a watch: the node sends the changes that the sidecar has missed, or a snapshot if it cannot determine them.
     fn open_watch(&mut self, sidecar: usize, node: usize) {
         if self.nodes[node].failed_at.is_some() {
             return self.handle_watch_end(sidecar);
@@ -1211,7 +1209,7 @@
         watcher.updated_since_open = false;
         watcher.keepalive_phase = self.now % KEEPALIVE_INTERVAL_US;
         watcher.last_update_at = self.now;
-        // Shared versions let a node find what another node has not yet sent.
+        // Thanks to shared versions a node knows which changes the sidecar has received from another node.
         let change_log = &self.nodes[node].change_log;
         let watcher = &self.sidecars[sidecar];
         let from = if moved {
