--- a/src/main.rs
+++ b/src/main.rs
@@ -21,15 +21,15 @@
 /// How long new client connections are accepted after SIGTERM. Clients may connect for up to 0.4 s after it, and
 /// connections that are still in the accept queue then must be served as well.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(550);
-/// The minimum time for graceful shutdown; a longer request deadline extends it. SIGKILL follows SIGTERM no earlier
-/// than 0.7 s after the end of this time.
+/// The minimum drain time, during which pending requests are completed; a longer request deadline extends it. SIGKILL
+/// follows SIGTERM no earlier than 0.7 s after the end of this time.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(3);
-/// Requests that are still pending this long after the drain time are answered at once, before SIGKILL comes.
+/// Requests that are still pending this long after the drain time are answered at once, before SIGKILL is sent.
 const DRAIN_MARGIN: Duration = Duration::from_millis(600);
 /// How long the process waits for these final responses to be written.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
-/// The first wait before a configuration that failed to load is read again: it may be only partly written. The wait
-/// doubles after each failure.
+/// The first wait before a configuration that failed to load is read again: the file may be only partly written. The
+/// wait doubles after each failure.
 const INITIAL_RELOAD_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest wait between two reads, so that a corrected configuration is in use within 4 s of SIGHUP.
 const MAX_RELOAD_BACKOFF: Duration = Duration::from_secs(1);
@@ -50,10 +50,11 @@
         .enable_all()
         .build()
         .context("cannot start the runtime")?;
-    runtime.block_on(sidecar(config))
+    runtime.block_on(run_sidecar(config))
 }
 
-async fn sidecar(config: Config) -> Result<()> {
+/// Runs the sidecar until it is told to stop and the graceful shutdown is complete.
+async fn run_sidecar(config: Config) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("cannot install the SIGTERM handler")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("cannot install the SIGINT handler")?;
     // An unhandled SIGHUP would end the process, so the handler is installed before the process is reachable.
@@ -79,8 +80,8 @@
         event_receiver,
         descriptors.clone(),
     );
-    let mut driver_task = tokio::spawn(driver.run(config.known));
-    let mut server_task = tokio::spawn(client::serve(listener, frontend, descriptors));
+    let mut driver_task = tokio::spawn(driver.run(config.saved_list));
+    let mut serve_task = tokio::spawn(client::serve(listener, frontend, descriptors));
 
     tokio::select! {
         _ = terminate.recv() => log::line("SIGTERM: graceful shutdown started"),
@@ -92,11 +93,11 @@
     phase_sender.send_replace(ShutdownPhase::Draining);
     sleep(ACCEPT_GRACE_PERIOD).await;
     phase_sender.send_replace(ShutdownPhase::Closing);
-    if timeout_at(shutdown_deadline, &mut server_task).await.is_err() {
+    if timeout_at(shutdown_deadline, &mut serve_task).await.is_err() {
         log::line("graceful shutdown timed out: answering pending requests before exit");
         // Fails only if the driver has ended: then no response can be sent.
         let _ = shutdown_event_sender.send(DriverEvent::ShutdownDeadline);
-        let _ = timeout_at(shutdown_deadline + FINAL_RESPONSE_TIMEOUT, server_task).await;
+        let _ = timeout_at(shutdown_deadline + FINAL_RESPONSE_TIMEOUT, serve_task).await;
     }
     Ok(())
 }
@@ -130,7 +131,8 @@
     }
 }
 
-/// Reads the configuration and applies what can be changed at run time. An invalid configuration changes nothing.
+/// Reads the configuration and applies the address of discovery, the only part that can be changed at run time. An
+/// invalid configuration changes nothing.
 fn reload_config(
     listen_address: SocketAddr,
     event_sender: &mpsc::UnboundedSender<DriverEvent>,
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -46,15 +46,17 @@
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
 /// The part of the connection limit that is kept free for new clients while evicted connections close.
 const EVICTION_HEADROOM: usize = 8;
-/// Limit on the length of a request id, which is stored while the request is open.
-const MAX_REQUEST_ID_BYTES: usize = 256;
+/// Limit on the length of the X-Request-ID header, which is stored while the request is open.
+const MAX_X_REQUEST_ID_BYTES: usize = 256;
 /// The delay after a failed accept. Without it, accepting in a busy loop while out of descriptors would starve the
 /// tasks that could free some.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest timeout that a request may ask for.
 const MAX_TIMEOUT_MS: u64 = 600_000;
+/// The id that the decision module uses for the first request.
+const FIRST_REQUEST_ID: u64 = 2;
 
-/// The stages of a graceful shutdown.
+/// The phases of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// Normal operation.
@@ -65,25 +67,25 @@
     Closing,
 }
 
-/// The classes and tenants that requests may name, indexed by id.
+/// The classes and tenants that requests may name.
 pub struct NameTable {
-    /// Names and idempotency of the classes, by class id.
+    /// Names and idempotency of the classes, indexed by [`ClassId`].
     pub classes: Vec<(String, Idempotency)>,
-    /// Names of the tenants, by tenant id.
+    /// Names of the tenants, indexed by [`TenantId`].
     pub tenants: Vec<String>,
 }
 
-/// State shared by all client connections. It holds counters and channels only; the driver owns all other state.
+/// State shared by the client connections and the driver. The driver alone owns the state of requests and upstreams.
 pub struct Frontend {
     /// The class and tenant names that requests may carry.
     pub names: NameTable,
-    /// Whether `/up` answers 200.
+    /// Whether `/up` returns 200.
     pub ready: AtomicBool,
-    /// The current stage of the shutdown.
+    /// The current phase of the shutdown.
     pub phase: watch::Receiver<ShutdownPhase>,
-    /// Events for the driver.
-    pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// The next id for the decision module. The ids that clients choose need not be unique.
+    /// Sends events to the driver.
+    pub event_sender: mpsc::UnboundedSender<DriverEvent>,
+    /// The next id for the decision module. The values of X-Request-ID that clients choose need not be unique.
     next_request_id: AtomicU64,
 }
 
@@ -108,19 +110,19 @@
     /// Its tenant.
     pub tenant: TenantId,
     /// The value of its X-Request-ID header.
-    pub id: Box<str>,
+    pub x_request_id: Box<str>,
     /// When its last byte was read.
     pub received_at: Instant,
     /// How long the client waits, counted from `received_at`.
     pub time_left: Duration,
-    /// The expected work in microseconds, if the client states it.
+    /// The client's estimate of the work from X-Cost, comparable only within the class.
     pub cost: Option<f64>,
     /// The parts that are forwarded to upstreams.
     pub forwarded: ForwardedRequest,
     /// Detects whether the client has disconnected; can be upgraded until the request has its response.
     pub client: Weak<DisconnectDetector>,
-    /// Receives the final response.
-    pub reply: oneshot::Sender<FinalResponse>,
+    /// Sends the final response to the client connection.
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// The final response to a client request.
@@ -141,9 +143,15 @@
     pub fn new(
         names: NameTable,
         phase: watch::Receiver<ShutdownPhase>,
-        events: mpsc::UnboundedSender<DriverEvent>,
+        event_sender: mpsc::UnboundedSender<DriverEvent>,
     ) -> Frontend {
-        Frontend { names, ready: AtomicBool::new(false), phase, events, next_request_id: AtomicU64::new(2) }
+        Frontend {
+            names,
+            ready: AtomicBool::new(false),
+            phase,
+            event_sender,
+            next_request_id: AtomicU64::new(FIRST_REQUEST_ID),
+        }
     }
 }
 
@@ -155,7 +163,8 @@
     Ok(socket.listen(LISTEN_BACKLOG)?)
 }
 
-/// The state of a client connection that its task shares with the accept loop.
+/// The state of a client connection that its task shares with the accept loop. A request is open from the time it has
+/// been read completely until its response is ready.
 struct ConnectionState {
     /// When its last request ended, or when it was accepted, in milliseconds since the epoch of its
     /// [`ConnectionTable`]; [`NOT_IDLE`] while a request is open.
@@ -169,11 +178,14 @@
 
 /// The open connections that have not been told to close.
 struct ConnectionTable {
+    /// The origin of [`ConnectionState::idle_since_ms`].
     epoch: Instant,
+    /// The states of the connections, by the task that serves the connection.
     by_task: HashMap<Id, Arc<ConnectionState>>,
 }
 
 impl ConnectionTable {
+    /// The time since the epoch.
     fn elapsed_ms(&self) -> u64 {
         self.epoch.elapsed().as_millis() as u64
     }
@@ -254,7 +266,7 @@
     if descriptors.lower_limit(client_count) {
         let limit = descriptors.connections_per_side();
         log::line(format!("out of descriptors: connections on each side are now limited to {limit}"));
-        let _ = frontend.events.send(DriverEvent::ConnectionLimitLowered);
+        let _ = frontend.event_sender.send(DriverEvent::ConnectionLimitLowered);
     }
     table.evict_down_to(eviction_target(descriptors.connections_per_side()));
 }
@@ -274,7 +286,7 @@
     table.by_task.remove(&id);
 }
 
-/// Serves one client connection until it is closed.
+/// Serves one client connection until it is closed. `epoch` is that of the [`ConnectionTable`].
 async fn serve_connection(
     stream: TcpStream,
     frontend: &Arc<Frontend>,
@@ -361,7 +373,7 @@
 impl Drop for DisconnectNotifier<'_> {
     fn drop(&mut self) {
         if !self.responded {
-            let _ = self.frontend.events.send(DriverEvent::ClientDisconnected(self.request));
+            let _ = self.frontend.event_sender.send(DriverEvent::ClientDisconnected(self.request));
         }
     }
 }
@@ -382,6 +394,7 @@
     }
 }
 
+/// Answers a request: the readiness check itself, any other one with the final response from the driver.
 async fn handle_request(
     request: Request<Incoming>,
     frontend: &Frontend,
@@ -397,10 +410,11 @@
             (true, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
         };
     }
-    let RequestHead { class, tenant, time_left, cost, id } = match parse_head(&request, &frontend.names) {
-        Ok(head) => head,
-        Err(RequestError { status, reason }) => return text_response(status, reason),
-    };
+    let RequestHead { class, tenant, time_left, cost, x_request_id } =
+        match parse_head(&request, &frontend.names) {
+            Ok(head) => head,
+            Err(RequestError { status, reason }) => return text_response(status, reason),
+        };
     let (parts, body) = request.into_parts();
     let body = match timeout_at(body_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -415,17 +429,27 @@
     // A request target in absolute form is reduced to path and query.
     let target = parts.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let request = RequestId(frontend.next_request_id.fetch_add(1, Ordering::Relaxed));
-    let (reply, response) = oneshot::channel();
+    let (response_sender, response_receiver) = oneshot::channel();
     let forwarded =
         ForwardedRequest { method: parts.method, target, headers: end_to_end_headers(&parts.headers), body };
     // Dropped with this future, when the client has its response or has disconnected.
     let detector = Arc::new(detector);
     let client = Arc::downgrade(&detector);
-    let client_request =
-        ClientRequest { request, class, tenant, id, received_at, time_left, cost, forwarded, client, reply };
+    let client_request = ClientRequest {
+        request,
+        class,
+        tenant,
+        x_request_id,
+        received_at,
+        time_left,
+        cost,
+        forwarded,
+        client,
+        response_sender,
+    };
     let mut disconnect_notifier = DisconnectNotifier { request, frontend, responded: false };
-    let _ = frontend.events.send(DriverEvent::RequestArrived(Box::new(client_request)));
-    let response = response.await;
+    let _ = frontend.event_sender.send(DriverEvent::RequestArrived(Box::new(client_request)));
+    let response = response_receiver.await;
     disconnect_notifier.responded = true;
     match response {
         Ok(FinalResponse::Served(headers, body)) => {
@@ -452,10 +476,10 @@
     tenant: TenantId,
     time_left: Duration,
     cost: Option<f64>,
-    id: Box<str>,
+    x_request_id: Box<str>,
 }
 
-/// Validates and parses a request head. Requests that upstreams could not use or might read differently are rejected.
+/// Validates and parses a request head. Requests that upstreams could not use or might parse differently are rejected.
 fn parse_head(request: &Request<Incoming>, names: &NameTable) -> Result<RequestHead, RequestError> {
     let class_name = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let Some(class) = names.classes.iter().position(|(name, _)| name == class_name) else {
@@ -493,7 +517,7 @@
             return Err(RequestError::bad_request("GET has no body"));
         }
         (&Method::GET, Idempotency::Idempotent) => {}
-        // Upstreams need the key to deduplicate retries.
+        // Upstreams need the key to detect repeats.
         (&Method::POST, Idempotency::Keyed { .. }) if idempotency_key.is_none_or(str::is_empty) => {
             return Err(RequestError::bad_request("Idempotency-Key is missing"));
         }
@@ -506,9 +530,10 @@
             return Err(RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
         }
     }
-    let id = single_header(headers, "x-request-id")?
-        .filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES);
-    let id = id.ok_or(RequestError::bad_request("X-Request-ID is missing or too long"))?.into();
+    let x_request_id = single_header(headers, "x-request-id")?
+        .filter(|id| !id.is_empty() && id.len() <= MAX_X_REQUEST_ID_BYTES);
+    let x_request_id =
+        x_request_id.ok_or(RequestError::bad_request("X-Request-ID is missing or too long"))?.into();
     let timeout = single_header(headers, "x-timeout-ms")?
         .ok_or(RequestError::bad_request("X-Timeout-Ms is missing"))?;
     let timeout_ms = parse_decimal(timeout).filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
@@ -526,7 +551,7 @@
     };
     // The cost is only a hint: an unreadable value is ignored.
     let cost = headers.get("x-cost").and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    Ok(RequestHead { class: ClassId(class), tenant: TenantId(tenant), time_left, cost, id })
+    Ok(RequestHead { class: ClassId(class), tenant: TenantId(tenant), time_left, cost, x_request_id })
 }
 
 /// Parses a number of decimal digits only; `parse` alone would accept a sign.
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -24,15 +24,19 @@
     /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The last known list of upstreams, used until discovery answers. Invalid parts are ignored.
-    #[serde(default, deserialize_with = "deserialize_known_list")]
-    pub known: Option<HostList>,
+    /// The host list saved before a restart, used until discovery answers. Invalid parts are ignored.
+    #[serde(default, rename = "known", deserialize_with = "deserialize_saved_list")]
+    pub saved_list: Option<HostList>,
     /// Settings of the decision module, in the format that the simulator uses as well.
     pub settings: SettingsObject,
 }
 
-/// Memory of a connection under load: its buffer and a body in each direction, and the same for the connection to the
-/// upstream.
+/// Start value and multiplier of the polynomial hash of a seed that is not hexadecimal.
+const HASH_START: u64 = 7;
+const HASH_MULTIPLIER: u64 = 31;
+
+/// Memory of a client connection under load, in KiB: its buffer and a body in each direction, and the same for the
+/// connection to the upstream.
 const CONNECTION_KIB: usize = 256;
 /// Minimum number of file descriptors; fewer leave none for connections on both sides.
 const MIN_SOCKETS: usize = 64;
@@ -72,26 +76,30 @@
     1024
 }
 
-/// Decodes the known list leniently: without a valid list the sidecar starts and waits for discovery.
-fn deserialize_known_list<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<HostList>, D::Error> {
+/// Decodes the saved list leniently: without a valid list the sidecar starts and waits for discovery.
+fn deserialize_saved_list<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<HostList>, D::Error> {
     let value = serde_json::Value::deserialize(deserializer)?;
     let hosts = match (&value, value.get("hosts").and_then(serde_json::Value::as_array)) {
         (serde_json::Value::Null, _) => return Ok(None),
         (_, Some(hosts)) => hosts.iter().cloned().map(HostEntry::from).collect(),
         (_, None) => {
-            log::line("the known list cannot be read: \"hosts\" is missing or not an array");
+            log::line(
+                "the saved host list in \"known\" cannot be read: \"hosts\" is missing or not an array",
+            );
             return Ok(None);
         }
     };
     // Version 0 makes discovery send a snapshot.
-    let seq = value.get("seq").and_then(serde_json::Value::as_u64).unwrap_or_else(|| {
-        log::line("the known list has no valid \"seq\"; using version 0");
+    let version = value.get("seq").and_then(serde_json::Value::as_u64).unwrap_or_else(|| {
+        log::line(
+            "the saved host list in \"known\" has no valid \"seq\": requesting a snapshot from discovery",
+        );
         0
     });
-    let mut list = HostList { seq, whole: true, hosts };
+    let mut list = HostList { version, is_snapshot: true, hosts };
     if list.has_invalid_entries() {
         // Later deltas need not contain the invalid entries, so a snapshot is required.
-        list.seq = 0;
+        list.version = 0;
     }
     Ok(Some(list))
 }
@@ -122,7 +130,9 @@
     /// The seed as a number. Text that is not hexadecimal is hashed.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| {
-            self.seed.bytes().fold(7, |hash, byte| hash.wrapping_mul(31) + u64::from(byte))
+            self.seed
+                .bytes()
+                .fold(HASH_START, |hash, byte| hash.wrapping_mul(HASH_MULTIPLIER) + u64::from(byte))
         })
     }
 }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -33,13 +33,13 @@
 /// The error number of an operation that would exceed the descriptor limit of the process (POSIX).
 const EMFILE: i32 = 24;
 /// The delay before connecting is retried without a free descriptor. Idle clients are evicted meanwhile; the shortest
-/// deadlines are tens of milliseconds.
+/// request deadlines are tens of milliseconds.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// The minimum time between two reductions of the limit. Until the connections above a reduced limit are closed,
 /// operations still fail while fewer and fewer descriptors are in use, which would reduce the limit again and again.
 const LIMIT_REDUCTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The limit on connections on each side, that is, of clients and to upstreams. It starts at the configured value and
+/// The limit on connections on each side, that is, from clients and to upstreams. It starts at the configured value and
 /// is lowered when an operation finds no free descriptor.
 pub struct Descriptors {
     /// The configured limit on each side.
@@ -60,7 +60,7 @@
 }
 
 impl Descriptors {
-    /// A budget with this limit on connections on each side.
+    /// Creates a budget with this limit on connections on each side.
     pub fn new(limit: usize) -> Descriptors {
         Descriptors {
             configured_limit: limit,
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery watch: a streaming HTTP call that delivers the list of upstreams and its changes to the driver.
+//! The discovery watch: a streaming HTTP call that delivers snapshots and deltas of the host list to the driver.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
 use super::log;
 
 /// A watch that delivers neither a complete object nor an empty line for this long is dead: discovery sends an empty
-/// line every 2 s. Changes must be in force within 6 s; that leaves time for a second watch that goes idle at once and
-/// for unanswered calls before and after it.
+/// line every 2 s. Updates must be applied within 6 s: that leaves time for a second watch that delivers nothing at all
+/// and for unanswered calls before and after it.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time in which a call that the decision module requests must be answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -39,7 +39,8 @@
 /// Upper bound of the backoff cap; leaves time for several calls within 6 s.
 const MAX_BACKOFF_CAP: Duration = Duration::from_millis(500);
 /// Maximum number of concurrent calls that have not been answered. One more cancels the oldest, or the second oldest
-/// while the oldest is within its call timeout: a discovery that is slower than the interval between calls can answer.
+/// while the oldest is within [`CALL_TIMEOUT`]. So a call can be answered even if discovery needs longer for it than
+/// the interval between calls.
 const MAX_PENDING_CALLS: usize = 8;
 /// Delay before a snapshot with invalid entries is requested again.
 const INVALID_ENTRY_REFETCH_DELAY: Duration = Duration::from_millis(2_000);
@@ -47,14 +48,15 @@
 /// object takes.
 const MAX_OBJECT_BYTES: usize = 2 << 20;
 
-/// A snapshot or delta of the list of upstreams, in discovery's JSON format.
+/// A snapshot or delta of the host list, in discovery's JSON format.
 #[derive(Deserialize)]
 pub struct HostList {
     /// Version of the list.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub version: u64,
     /// Whether this is a snapshot; otherwise it is a delta.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(default, rename = "whole")]
+    pub is_snapshot: bool,
     /// Entries of the snapshot, or the changed ones of a delta.
     pub hosts: Vec<HostEntry>,
 }
@@ -68,7 +70,7 @@
     /// An entry that cannot be decoded.
     Invalid {
         /// Name of the host, if it could be decoded.
-        host: Option<String>,
+        name: Option<String>,
         /// Why decoding failed.
         error: String,
     },
@@ -79,8 +81,8 @@
         match decode_host(&entry) {
             Ok(host) => HostEntry::Decoded(host),
             Err(error) => {
-                let host = entry.get("host").and_then(serde_json::Value::as_str).map(str::to_owned);
-                HostEntry::Invalid { host, error: error.to_string() }
+                let name = entry.get("host").and_then(serde_json::Value::as_str).map(str::to_owned);
+                HostEntry::Invalid { name, error: error.to_string() }
             }
         }
     }
@@ -90,29 +92,31 @@
 #[derive(Deserialize, Clone)]
 pub struct Host {
     /// Name of the upstream, the same at every sidecar.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Address that it listens on.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Zone of the upstream.
-    #[serde(default)]
-    pub site: String,
+    #[serde(default, rename = "site")]
+    pub zone: String,
     /// Machine type.
-    #[serde(default)]
-    pub class: String,
+    #[serde(default, rename = "class")]
+    pub machine_type: String,
     /// Cell of the upstream.
-    #[serde(default)]
-    pub block: u64,
+    #[serde(default, rename = "block")]
+    pub cell: u64,
     /// Whether it accepts new requests.
     pub health: Health,
     /// Capacity relative to other upstreams.
-    #[serde(default = "default_share")]
-    pub share: f64,
+    #[serde(default = "default_weight", rename = "share")]
+    pub weight: f64,
     /// Time of its last start, in Unix milliseconds; 0 if that was long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(default, rename = "born_ms")]
+    pub start_unix_ms: f64,
 }
 
-fn default_share() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -134,7 +138,7 @@
         self.hosts.iter().filter_map(|entry| match entry {
             HostEntry::Decoded(host) => Some(host),
             HostEntry::Invalid { error, .. } => {
-                log::line(format!("discovery: an entry cannot be read: {error}"));
+                log::line(format!("an entry of the host list cannot be read: {error}"));
                 None
             }
         })
@@ -148,7 +152,7 @@
     /// The host names of the invalid entries, where they could be decoded.
     pub fn invalid_host_names(&self) -> impl Iterator<Item = &str> {
         self.hosts.iter().filter_map(|entry| match entry {
-            HostEntry::Invalid { host, .. } => host.as_deref(),
+            HostEntry::Invalid { name, .. } => name.as_deref(),
             HostEntry::Decoded(_) => None,
         })
     }
@@ -157,8 +161,8 @@
 /// Decodes and checks one entry.
 fn decode_host(entry: &serde_json::Value) -> Result<Host> {
     let host = Host::deserialize(entry)?;
-    if !host.share.is_finite() || !host.born_ms.is_finite() {
-        bail!("share or born_ms of {} is not a finite number", host.host);
+    if !host.weight.is_finite() || !host.start_unix_ms.is_finite() {
+        bail!("share or born_ms of {} is not a finite number", host.name);
     }
     Ok(host)
 }
@@ -168,8 +172,11 @@
 struct JsonFramer {
     /// Bytes received so far of an incomplete object.
     partial_object: BytesMut,
+    /// Number of braces that are open.
     depth: usize,
+    /// Whether the next byte belongs to a string.
     in_string: bool,
+    /// Whether the next byte is escaped by a backslash.
     escaped: bool,
     /// Whether a line has ended outside any object since the caller last reset this.
     line_ended: bool,
@@ -202,7 +209,7 @@
         Ok((None, chunk.len()))
     }
 
-    /// Counts braces outside strings.
+    /// Updates `depth`, ignoring braces in strings.
     fn track_nesting(&mut self, byte: u8) {
         match (self.in_string, byte) {
             (true, _) if self.escaped => self.escaped = false,
@@ -227,9 +234,9 @@
     /// Identifies the watch: events of an earlier one that are still queued are ignored.
     pub id: u64,
     /// Version of the list that the sidecar has; 0 requests a snapshot.
-    pub seq: u64,
-    /// Events for the driver.
-    pub events: mpsc::UnboundedSender<DriverEvent>,
+    pub list_version: u64,
+    /// Sends events to the driver.
+    pub event_sender: mpsc::UnboundedSender<DriverEvent>,
     /// How long requests may still be sent to a server after it has been listed as draining.
     pub drain_grace: Duration,
     /// Random numbers for the jitter of retries.
@@ -241,6 +248,7 @@
 /// An open watch; dropping it closes the connection.
 struct OpenWatch {
     body: Incoming,
+    /// The task that runs the connection.
     _connection: AbortOnDrop,
 }
 
@@ -272,14 +280,14 @@
     pub async fn run_forever(mut self) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
-            let seq_before = self.seq;
+            let version_before = self.list_version;
             let watch = self.connect_with_retries().await;
             let Err(end) = self.forward_updates(watch).await;
             log::line(format!("discovery: {end}; reconnecting"));
             // Backs off from a discovery that fails before it delivers an update. An idle timeout needs no further
             // backoff.
             let idle_timeout = matches!(end, WatchEnd::IdleTimeout);
-            backoff = if self.seq == seq_before && !idle_timeout {
+            backoff = if self.list_version == version_before && !idle_timeout {
                 (backoff * 2).min(self.backoff_cap())
             } else {
                 INITIAL_BACKOFF
@@ -310,7 +318,9 @@
             }
         };
         log::line(format!("discovery: {end}"));
-        let _ = self.events.send(DriverEvent::DiscoveryFailed { watch_id: self.id, seq: self.seq });
+        let _ = self
+            .event_sender
+            .send(DriverEvent::DiscoveryFailed { watch_id: self.id, list_version: self.list_version });
     }
 
     /// The longest wait between two calls while discovery does not answer.
@@ -330,7 +340,7 @@
         let mut pending = VecDeque::new();
         let mut error_logged = false;
         loop {
-            let call = request_watch(self.address, self.seq, self.descriptors.clone());
+            let call = request_watch(self.address, self.list_version, self.descriptors.clone());
             pending.push_back((Instant::now(), calls.spawn(call)));
             if pending.len() > MAX_PENDING_CALLS {
                 let oldest_within_timeout =
@@ -357,10 +367,11 @@
         }
     }
 
+    /// Opens a watch with one call.
     async fn connect_with_timeout(&self) -> Result<OpenWatch, WatchEnd> {
-        Ok(timeout(CALL_TIMEOUT, request_watch(self.address, self.seq, self.descriptors.clone()))
+        Ok(timeout(CALL_TIMEOUT, request_watch(self.address, self.list_version, self.descriptors.clone()))
             .await
-            .context("the call timed out")??)
+            .context("a call was not answered in time")??)
     }
 
     /// Forwards updates to the driver until the watch ends.
@@ -377,16 +388,16 @@
                     Err(anyhow!("requesting a snapshot because of invalid entries").into())
                 }
                 Err(_) => Err(WatchEnd::IdleTimeout),
-                Ok(None) => Err(anyhow!("discovery closed the watch").into()),
+                Ok(None) => Err(anyhow!("the watch was closed").into()),
                 Ok(Some(Err(error))) => Err(error.into()),
                 Ok(Some(Ok(frame))) => Ok(frame),
             };
             let frame = match received {
                 Ok(frame) => frame,
                 Err(end) => {
-                    // Later deltas do not repeat an update that was lost or invalid: resynchronise from version 0.
+                    // Later deltas do not repeat an update that was lost or invalid, so request a snapshot.
                     if framer.in_object() || refetch_deadline.is_some() {
-                        self.seq = 0;
+                        self.list_version = 0;
                     }
                     return Err(end);
                 }
@@ -405,12 +416,13 @@
                 match forwarded {
                     Ok(refetch_at) => refetch_deadline = refetch_at.or(refetch_deadline),
                     Err(error) => {
-                        self.seq = 0;
+                        // Request a snapshot, since later deltas do not repeat this update.
+                        self.list_version = 0;
                         return Err(error.into());
                     }
                 }
             }
-            // Parts of an object and spaces do not extend the deadline: they could go on without end.
+            // Further parts of an object and spaces do not extend the deadline: they could continue indefinitely.
             let line_ended = std::mem::take(&mut framer.line_ended) && !framer.in_object();
             let object_started = framer.in_object() && !was_in_object;
             if object_completed || object_started || line_ended {
@@ -419,16 +431,16 @@
         }
     }
 
-    /// Decodes an object and forwards it to the driver. If entries are invalid, returns when to request a snapshot.
+    /// Decodes an object and forwards it to the driver. If it has invalid entries, returns when to request a snapshot.
     fn forward_object(&mut self, object: &[u8]) -> Result<Option<Instant>> {
-        let list: HostList = serde_json::from_slice(object).context("an object cannot be read")?;
-        if !list.whole && list.seq < self.seq {
-            bail!("received a delta of version {} after version {}", list.seq, self.seq);
+        let list: HostList = serde_json::from_slice(object).context("a JSON object cannot be read")?;
+        if !list.is_snapshot && list.version < self.list_version {
+            bail!("received a delta of version {} after version {}", list.version, self.list_version);
         }
-        self.seq = list.seq;
-        let (is_snapshot, has_invalid_entries) = (list.whole, list.has_invalid_entries());
+        self.list_version = list.version;
+        let (is_snapshot, has_invalid_entries) = (list.is_snapshot, list.has_invalid_entries());
         let event = DriverEvent::HostListReceived { watch_id: self.id, list };
-        self.events.send(event).ok().context("the driver has stopped")?;
+        self.event_sender.send(event).ok().context("the driver has stopped")?;
         match (has_invalid_entries, is_snapshot) {
             (false, _) => Ok(None),
             // The next snapshot may have the same invalid entries.
@@ -438,14 +450,18 @@
     }
 }
 
-/// Requests a watch that starts after a version.
-async fn request_watch(address: SocketAddr, seq: u64, descriptors: Arc<Descriptors>) -> Result<OpenWatch> {
+/// Opens a watch that starts after a version of the list; version 0 requests a snapshot.
+async fn request_watch(
+    address: SocketAddr,
+    list_version: u64,
+    descriptors: Arc<Descriptors>,
+) -> Result<OpenWatch> {
     let stream = descriptors.connect(address, &mut false).await.context("cannot connect")?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = AbortOnDrop(tokio::spawn(async move {
         let _ = connection.await;
     }));
-    let request = Request::get(format!("/discovery/hosts?watch=1&from={seq}"))
+    let request = Request::get(format!("/discovery/hosts?watch=1&from={list_version}"))
         .header(header::HOST, address.to_string())
         .body(Empty::<Bytes>::new())?;
     let response = sender.send_request(request).await?;
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -69,7 +69,7 @@
     /// Opening a connection for an attempt succeeded or failed.
     ConnectFinished(InFlightAttempt, Result<Box<Connection>, ConnectError>),
     /// An attempt ended.
-    AttemptEnded {
+    AttemptFinished {
         /// The attempt.
         in_flight: InFlightAttempt,
         /// The result of the attempt.
@@ -91,11 +91,11 @@
         /// The response, if one came in time.
         response: Option<UpstreamResponse>,
     },
-    /// Discovery sent a host list or a change of it.
+    /// Discovery sent a snapshot or a delta of the host list.
     HostListReceived {
         /// The watch that received it.
         watch_id: u64,
-        /// The list or the change.
+        /// The snapshot or the delta.
         list: HostList,
     },
     /// The configuration file was reloaded.
@@ -111,8 +111,8 @@
     DiscoveryFailed {
         /// The watch or call that failed.
         watch_id: u64,
-        /// The list version to resume from; 0 if an update was missed and the whole list is needed.
-        seq: u64,
+        /// The list version to resume from; 0 if an update was missed and a snapshot is needed.
+        list_version: u64,
     },
 }
 
@@ -127,10 +127,11 @@
 /// A request that has not received its final response.
 struct PendingRequest {
     /// The value of the X-Request-ID header.
-    id: Box<str>,
+    x_request_id: Box<str>,
     forwarded: Arc<ForwardedRequest>,
+    /// Detects whether the client has disconnected.
     client: Weak<DisconnectDetector>,
-    reply: oneshot::Sender<FinalResponse>,
+    response_sender: oneshot::Sender<FinalResponse>,
     attempts_started: u32,
     /// The module's deadline.
     deadline: Instant,
@@ -138,9 +139,9 @@
     deadline_timer: (Instant, u64),
 }
 
-/// What to do when a timer fires.
+/// What to do when a timer expires.
 enum Timer {
-    /// Notify the module; holds the module's token.
+    /// Pass [`Event::TimerFired`] with this token to the module.
     Module(u64),
     /// End a request whose deadline has passed.
     RequestDeadline(RequestId),
@@ -155,19 +156,19 @@
     module: Balancer,
     settings: SettingsObject,
     report_columns: Vec<ReportColumn>,
-    /// Whether the module requests each discovery watch itself.
+    /// Whether a discovery watch starts only when the module requests one with [`Action::Subscribe`].
     subscribe_mode: bool,
     frontend: Arc<Frontend>,
     event_receiver: mpsc::UnboundedReceiver<DriverEvent>,
     event_sender: mpsc::UnboundedSender<DriverEvent>,
     discovery_address: SocketAddr,
-    /// The list version from which the next watch resumes; 0 requests the whole list.
-    list_seq: u64,
+    /// The list version from which the next watch resumes; 0 requests a snapshot.
+    list_version: u64,
     watch: Option<AbortOnDrop>,
     /// The id of the current watch; events of earlier watches are ignored.
     watch_id: u64,
-    /// Whether the current watch was started by a reload and has not sent an event yet. It calls discovery until that
-    /// answers.
+    /// Whether the current watch was started by a reload and has not sent an event yet. It calls discovery
+    /// until discovery answers.
     reload_watch_pending: bool,
     /// Seeds the jitter of discovery watches.
     rng: Rand64,
@@ -175,7 +176,7 @@
     epoch: Instant,
     pending: HashMap<RequestId, PendingRequest>,
     /// The X-Request-ID values of the pending requests.
-    pending_ids: HashSet<Box<str>>,
+    pending_x_request_ids: HashSet<Box<str>>,
     attempts: BTreeMap<(RequestId, AttemptNo), AttemptState>,
     upstreams: UpstreamRegistry,
     /// Timers by expiry time; the number distinguishes timers of the same time.
@@ -209,11 +210,11 @@
             subscribe_mode: matches!(module_settings.discovery, DiscoveryMode::Subscribe { .. }),
             module: Balancer::new(module_settings, seed),
             report_columns: settings.columns(),
-            event_sender: frontend.events.clone(),
+            event_sender: frontend.event_sender.clone(),
             frontend,
             event_receiver,
             discovery_address,
-            list_seq: 0,
+            list_version: 0,
             watch: None,
             watch_id: 0,
             reload_watch_pending: false,
@@ -221,7 +222,7 @@
             rng: Rand64::new(u128::from(!seed)),
             epoch: Instant::now(),
             pending: HashMap::new(),
-            pending_ids: HashSet::new(),
+            pending_x_request_ids: HashSet::new(),
             attempts: BTreeMap::new(),
             upstreams: UpstreamRegistry::new(unix_time.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
             timers: BTreeMap::new(),
@@ -238,7 +239,7 @@
 
     /// Starts from a saved host list, if there is one, and handles events until the process exits.
     pub async fn run(mut self, saved_list: Option<HostList>) {
-        let saved_list = saved_list.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
+        let saved_list = saved_list.unwrap_or(HostList { version: 0, is_snapshot: true, hosts: Vec::new() });
         self.apply_host_list(&saved_list, true);
         if !self.subscribe_mode {
             self.start_watch(false);
@@ -264,11 +265,19 @@
     /// whether a configuration reload asked for the watch.
     fn start_watch(&mut self, after_reload: bool) {
         self.watch_id += 1;
-        let (address, id, events) = (self.discovery_address, self.watch_id, self.event_sender.clone());
+        let (address, id, event_sender) = (self.discovery_address, self.watch_id, self.event_sender.clone());
         let drain_grace = Duration::from_secs_f64(self.settings.drain_grace_ms() / 1e3);
         let rng = Rand64::new(u128::from(self.rng.rand_u64()));
         let descriptors = self.descriptors.clone();
-        let watch = Watch { address, id, seq: self.list_seq, events, drain_grace, rng, descriptors };
+        let watch = Watch {
+            address,
+            id,
+            list_version: self.list_version,
+            event_sender,
+            drain_grace,
+            rng,
+            descriptors,
+        };
         self.reload_watch_pending = after_reload;
         self.watch = Some(AbortOnDrop(if self.subscribe_mode {
             tokio::spawn(watch.run_once(after_reload))
@@ -282,6 +291,7 @@
         at.saturating_duration_since(self.epoch).as_secs_f64() * 1e3
     }
 
+    /// Sets a timer and returns its key in `timers`.
     fn set_timer(&mut self, at: Instant, timer: Timer) -> (Instant, u64) {
         self.last_timer_number += 1;
         let key = (at, self.last_timer_number);
@@ -319,7 +329,7 @@
         let in_flight_attempts: Vec<InFlightAttempt> =
             self.attempts.range(all_attempts).map(|(_, state)| state.in_flight).collect();
         for in_flight in in_flight_attempts {
-            self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::TimedOut, None));
+            self.on_attempt_finished(in_flight, AttemptResult::Outcome(Outcome::TimedOut, None));
         }
         if self.pending.contains_key(&request) {
             self.respond(request, FinalResponse::Failed);
@@ -349,22 +359,24 @@
             DriverEvent::ConnectFinished(in_flight, connection) => {
                 self.on_connect_finished(in_flight, connection)
             }
-            DriverEvent::AttemptEnded { in_flight, result } => self.on_attempt_ended(in_flight, result),
+            DriverEvent::AttemptFinished { in_flight, result } => self.on_attempt_finished(in_flight, result),
             DriverEvent::ConnectionReturned { upstream, incarnation, connection } => {
                 self.return_to_pool(upstream, incarnation, *connection)
             }
             DriverEvent::ProbeFinished { upstream, response } => {
                 let answered = response.as_ref().is_some_and(|response| response.status == 200);
-                let text = response.filter(|_| answered);
-                let text = text.as_ref().and_then(|response| std::str::from_utf8(&response.body).ok());
+                let successful_response = response.filter(|_| answered);
+                let text = successful_response
+                    .as_ref()
+                    .and_then(|response| std::str::from_utf8(&response.body).ok());
                 let report = text.and_then(|text| report_from_text(&self.report_columns, text));
                 self.notify_module(Event::ProbeFinished { upstream, answered, report });
             }
             DriverEvent::HostListReceived { watch_id, list } if watch_id == self.watch_id => {
                 self.apply_host_list(&list, false)
             }
-            DriverEvent::DiscoveryFailed { watch_id, seq } if watch_id == self.watch_id => {
-                self.list_seq = seq;
+            DriverEvent::DiscoveryFailed { watch_id, list_version } if watch_id == self.watch_id => {
+                self.list_version = list_version;
                 self.reload_watch_pending = false;
                 self.notify_module(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
             }
@@ -390,21 +402,21 @@
             request,
             class,
             tenant,
-            id,
+            x_request_id,
             received_at,
             time_left,
             cost,
             forwarded,
             client,
-            reply,
+            response_sender,
         } = client_request;
         if self.shutdown_deadline_reached {
-            let _ = reply.send(FinalResponse::Refused(0.0));
+            let _ = response_sender.send(FinalResponse::Refused(0.0));
             return;
         }
-        // Upstreams identify a request by its id and would take a second request with the same id for a retry.
-        if !self.pending_ids.insert(id.clone()) {
-            let _ = reply.send(FinalResponse::Rejected(StatusCode::CONFLICT));
+        // Upstreams identify a request by its X-Request-ID and would take a second one with the same value for a retry.
+        if !self.pending_x_request_ids.insert(x_request_id.clone()) {
+            let _ = response_sender.send(FinalResponse::Rejected(StatusCode::CONFLICT));
             return;
         }
         let deadline = received_at + time_left.saturating_sub(MODULE_DEADLINE_MARGIN);
@@ -413,10 +425,10 @@
             Timer::RequestDeadline(request),
         );
         let pending = PendingRequest {
-            id,
+            x_request_id,
             forwarded: Arc::new(forwarded),
             client,
-            reply,
+            response_sender,
             attempts_started: 0,
             deadline,
             deadline_timer,
@@ -431,7 +443,7 @@
         self.abandon_request(request);
     }
 
-    /// Tells the module that a request needs no final response from it any more, and cancels its attempts.
+    /// Tells the module that a request needs no response any more, and cancels its attempts.
     fn abandon_request(&mut self, request: RequestId) {
         self.notify_module(Event::RequestAbandoned(request));
         self.cancel_attempts(request);
@@ -444,11 +456,11 @@
         }
     }
 
-    /// Removes a request from the pending requests, together with its id and its deadline timer.
+    /// Removes a request from the pending requests, together with its X-Request-ID and its deadline timer.
     fn remove_pending(&mut self, request: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&request)?;
         self.timers.remove(&pending.deadline_timer);
-        self.pending_ids.remove(&pending.id);
+        self.pending_x_request_ids.remove(&pending.x_request_id);
         Some(pending)
     }
 
@@ -456,7 +468,7 @@
     fn respond(&mut self, request: RequestId, response: FinalResponse) -> bool {
         let Some(pending) = self.remove_pending(request) else { return false };
         // Fails if the client has just disconnected.
-        pending.reply.send(response).is_ok()
+        pending.response_sender.send(response).is_ok()
     }
 
     fn execute_action(&mut self, action: Action) {
@@ -501,14 +513,14 @@
         let incarnation = self.upstreams.get(upstream).map_or(0, |server| server.incarnation);
         let in_flight = InFlightAttempt { request, attempt, upstream, incarnation, deadline };
         self.attempts.insert((request, attempt), AttemptState { in_flight, started_at: now, cancel: None });
-        self.acquire_connection(in_flight);
+        self.send_or_connect(in_flight);
     }
 
     /// Sends an attempt over an idle connection, or starts to open a new connection for it.
-    fn acquire_connection(&mut self, in_flight: InFlightAttempt) {
+    fn send_or_connect(&mut self, in_flight: InFlightAttempt) {
         let idle_timeout = self.idle_timeout();
         let Some(server) = self.upstreams.get_mut(in_flight.upstream) else {
-            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
+            return self.queue_attempt_finished(in_flight, Outcome::NotSent);
         };
         if let Some(connection) = server.pool.take(idle_timeout) {
             return self.send_attempt(in_flight, connection);
@@ -516,7 +528,7 @@
         let address = server.address;
         // Without a free connection the attempt is not sent; this must not count against the upstream.
         let Some(permit) = self.acquire_connection_permit() else {
-            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
+            return self.queue_attempt_finished(in_flight, Outcome::NotSent);
         };
         let (cancel, cancelled) = oneshot::channel();
         if let Some(state) = self.attempts.get_mut(&(in_flight.request, in_flight.attempt)) {
@@ -524,7 +536,7 @@
         }
         let connect_deadline =
             Instant::now() + Duration::from_secs_f64(self.settings.connect_timeout_ms() / 1e3);
-        let (events, descriptors) = (self.event_sender.clone(), self.descriptors.clone());
+        let (event_sender, descriptors) = (self.event_sender.clone(), self.descriptors.clone());
         tokio::spawn(async move {
             let result = tokio::select! {
                 result = Connection::open(
@@ -535,7 +547,7 @@
                 ) => result,
                 _ = cancelled => Err(ConnectError::Cancelled),
             };
-            let _ = events.send(DriverEvent::ConnectFinished(in_flight, result.map(Box::new)));
+            let _ = event_sender.send(DriverEvent::ConnectFinished(in_flight, result.map(Box::new)));
         });
     }
 
@@ -563,12 +575,13 @@
         let connection = match connection {
             Ok(connection) => *connection,
             Err(ConnectError::Failed(reason)) if !cancelled => {
-                let host = self.upstreams.get(in_flight.upstream).map_or("?", |server| &server.host);
-                log::line(format!("upstream {host}: {reason}"));
-                return self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::Unreachable, None));
+                let name = self.upstreams.get(in_flight.upstream).map_or("?", |server| &server.name);
+                log::line(format!("upstream {name}: {reason}"));
+                return self
+                    .on_attempt_finished(in_flight, AttemptResult::Outcome(Outcome::Unreachable, None));
             }
             Err(_) => {
-                return self.on_attempt_ended(in_flight, AttemptResult::Outcome(Outcome::NotSent, None));
+                return self.on_attempt_finished(in_flight, AttemptResult::Outcome(Outcome::NotSent, None));
             }
         };
         // Meanwhile the attempt may have timed out, the request may have ended, or the upstream may have started to
@@ -583,7 +596,7 @@
         }
         self.return_to_pool(in_flight.upstream, in_flight.incarnation, connection);
         let outcome = if still_pending { Outcome::Unreachable } else { Outcome::NotSent };
-        self.on_attempt_ended(in_flight, AttemptResult::Outcome(outcome, None));
+        self.on_attempt_finished(in_flight, AttemptResult::Outcome(outcome, None));
     }
 
     /// Sends an attempt over a connection.
@@ -591,7 +604,7 @@
         let key = (in_flight.request, in_flight.attempt);
         let Some(pending) = self.pending.get(&in_flight.request) else {
             self.return_to_pool(in_flight.upstream, in_flight.incarnation, connection);
-            return self.queue_attempt_ended(in_flight, Outcome::NotSent);
+            return self.queue_attempt_finished(in_flight, Outcome::NotSent);
         };
         let address = self.upstreams.get(in_flight.upstream).map(|server| server.address);
         let time_left =
@@ -602,19 +615,21 @@
         if let Some(state) = self.attempts.get_mut(&key) {
             state.cancel = Some(cancel);
         }
-        let (client, events) = (pending.client.clone(), self.event_sender.clone());
-        tokio::spawn(run_attempt(connection, request, body_len, client, in_flight, cancelled, events));
+        let (client, event_sender) = (pending.client.clone(), self.event_sender.clone());
+        tokio::spawn(run_attempt(connection, request, body_len, client, in_flight, cancelled, event_sender));
     }
 
-    /// Ends an attempt that was never sent. The end is queued as an event, so that the module hears of it only after
-    /// the current actions are carried out.
-    fn queue_attempt_ended(&self, in_flight: InFlightAttempt, outcome: Outcome) {
+    /// Ends an attempt that was never sent. The end is queued as an event, so that the module is told only after the
+    /// current actions are carried out.
+    fn queue_attempt_finished(&self, in_flight: InFlightAttempt, outcome: Outcome) {
         let _ = self
             .event_sender
-            .send(DriverEvent::AttemptEnded { in_flight, result: AttemptResult::Outcome(outcome, None) });
+            .send(DriverEvent::AttemptFinished { in_flight, result: AttemptResult::Outcome(outcome, None) });
     }
 
-    fn on_attempt_ended(&mut self, in_flight: InFlightAttempt, result: AttemptResult) {
+    /// Handles the end of an attempt: tells the module, and sends the client a response that ends the request. An
+    /// attempt whose connection was found closed before anything was written continues over another connection instead.
+    fn on_attempt_finished(&mut self, in_flight: InFlightAttempt, result: AttemptResult) {
         let key = (in_flight.request, in_flight.attempt);
         let (outcome, response) = match result {
             AttemptResult::Outcome(outcome, response) => (outcome, response),
@@ -622,7 +637,7 @@
             AttemptResult::StaleConnection => {
                 let not_cancelled = self.attempts.get(&key).is_some_and(|state| state.cancel.is_some());
                 if not_cancelled && Instant::now() < in_flight.deadline {
-                    return self.acquire_connection(in_flight);
+                    return self.send_or_connect(in_flight);
                 }
                 (Outcome::Unreachable, None)
             }
@@ -678,6 +693,7 @@
         }
     }
 
+    /// Starts a probe over an idle or a new connection. If none is available, the probe ends without a response.
     fn start_probe(&mut self, upstream: UpstreamId) {
         let idle_timeout = self.idle_timeout();
         let now = Instant::now();
@@ -719,15 +735,15 @@
 
     // --- Host list ---------------------------------------------------------------------------
 
-    /// Applies a host list or a change of it. `restored` marks the list that was saved before a restart.
+    /// Applies a snapshot or a delta of the host list. `restored` marks the list that was saved before a restart.
     fn apply_host_list(&mut self, list: &HostList, restored: bool) {
-        self.list_seq = list.seq;
+        self.list_version = list.version;
         self.reload_watch_pending = false;
-        let whole = list.whole || restored;
+        let is_complete = list.is_snapshot || restored;
         let now = self.module_time(Instant::now());
-        let records = self.upstreams.apply_list(list, whole, &self.settings, now);
-        self.frontend.ready.fetch_or(!records.is_empty() || (whole && !restored), Ordering::Relaxed);
-        self.notify_module(Event::DiscoveryUpdated(match (restored, whole) {
+        let records = self.upstreams.apply_list(list, is_complete, &self.settings, now);
+        self.frontend.ready.fetch_or(!records.is_empty() || (is_complete && !restored), Ordering::Relaxed);
+        self.notify_module(Event::DiscoveryUpdated(match (restored, is_complete) {
             (true, _) => DiscoveryUpdate::Restored(records),
             (false, true) => DiscoveryUpdate::Snapshot(records),
             (false, false) => DiscoveryUpdate::Delta(records),
--- a/src/net/upstream_connection.rs
+++ b/src/net/upstream_connection.rs
@@ -24,29 +24,39 @@
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Limit on the size of a response head; hyper also reads bodies through a buffer of this size.
 const MAX_BUFFER_BYTES: usize = 32 << 10;
-/// A response that has started counts as stalled after two such intervals in a row without a new byte. Responses are
-/// small, and upstreams complete them before they send them.
+/// The interval at which a response that has started is checked for new bytes. It is short because responses are small
+/// and upstreams complete them before they send them.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(15);
+/// The number of intervals in a row without a new byte after which a response counts as stalled.
+const INTERVALS_BEFORE_STALL: u32 = 2;
 /// How long a connection carries no other request after a response. An upstream may send a second, unsolicited response
 /// shortly after the first; it would be taken for the response to the next request.
 const QUARANTINE_AFTER_RESPONSE: Duration = Duration::from_millis(15);
 /// How long a connection may take to become ready for the next request after a response was read.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
+/// The length of the line end in HTTP/1.1.
+const CRLF_BYTES: usize = 2;
+/// The length of the ": " between the name and the value of a header.
+const HEADER_SEPARATOR_BYTES: usize = 2;
+/// The `request_end` of an exchange whose errors need not tell whether the request was written completely.
+const REQUEST_END_UNUSED: u64 = 0;
 
 /// An open connection. Dropping it closes the socket soon after; [`Connection::close`] waits until it is closed.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
+    /// The task that runs the connection.
     task: JoinHandle<()>,
     progress: Arc<ExchangeProgress>,
     /// Whether the connection has carried a request before.
     pub used: bool,
     /// When the last exchange ended, or when the connection was opened.
     pub idle_since: Instant,
+    /// Counts the connection against the limit while it is open.
     _permit: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Opens a connection before `deadline`.
+    /// Opens a connection, or fails at `deadline`.
     pub async fn open(
         address: SocketAddr,
         deadline: Instant,
@@ -139,13 +149,16 @@
     InvalidResponse(&'static str),
 }
 
-/// The minimum size of a request on the wire. If fewer bytes were written, the request is incomplete.
+/// The minimum number of bytes of a request in HTTP/1.1. If fewer were written, the request is incomplete.
 fn min_request_bytes(request: &Request<Full<Bytes>>, body_len: usize) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let request_line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
-    let headers: usize =
-        request.headers().iter().map(|(name, value)| name.as_str().len() + 2 + value.len() + 2).sum();
-    (request_line + headers + 2 + body_len) as u64
+    let headers: usize = request
+        .headers()
+        .iter()
+        .map(|(name, value)| name.as_str().len() + HEADER_SEPARATOR_BYTES + value.len() + CRLF_BYTES)
+        .sum();
+    (request_line + headers + CRLF_BYTES + body_len) as u64
 }
 
 /// Returns why the body of a response must not be read: its end is ambiguous, or it is too long.
@@ -216,7 +229,7 @@
         progress.response_started().await;
         let mut idle_intervals = 0;
         let mut last_read = progress.bytes_read();
-        while idle_intervals < 2 {
+        while idle_intervals < INTERVALS_BEFORE_STALL {
             sleep(STALL_CHECK_INTERVAL).await;
             let read = progress.bytes_read();
             (idle_intervals, last_read) =
@@ -245,9 +258,9 @@
     }
 }
 
-/// The result of an attempt.
+/// How an attempt ended on its connection.
 pub enum AttemptResult {
-    /// The outcome, with the response if one was read.
+    /// The attempt is over: its outcome, with the response if one was read.
     Outcome(Outcome, Option<UpstreamResponse>),
     /// The idle connection had been closed and no byte was written: the attempt may use another connection.
     StaleConnection,
@@ -255,7 +268,8 @@
     ClientDisconnected,
 }
 
-/// Runs one attempt over a connection until it ends, times out, or the sender of `cancelled` is dropped or used.
+/// Runs one attempt over a connection until it ends, times out, or the sender of `cancelled` is dropped or used. Then
+/// sends the driver [`DriverEvent::AttemptFinished`].
 pub async fn run_attempt(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
@@ -263,7 +277,7 @@
     client: Weak<DisconnectDetector>,
     in_flight: InFlightAttempt,
     cancelled: oneshot::Receiver<()>,
-    events: mpsc::UnboundedSender<DriverEvent>,
+    event_sender: mpsc::UnboundedSender<DriverEvent>,
 ) {
     let progress = connection.progress.clone();
     let written_before = progress.bytes_written();
@@ -285,12 +299,12 @@
                 }
                 Err(ExchangeError::ConnectionLost) => (AttemptResult::Outcome(Outcome::Reset, None), false),
                 Err(ExchangeError::InvalidResponse(reason)) => {
-                    log::line(format!("upstream {}: {reason}", in_flight.upstream.0));
+                    log::line(format!("upstream id {}: {reason}", in_flight.upstream.0));
                     (AttemptResult::Outcome(Outcome::Error, None), false)
                 }
             },
             () = wait_for_stall(&progress) => {
-                log::line(format!("upstream {}: response stalled", in_flight.upstream.0));
+                log::line(format!("upstream id {}: response stalled", in_flight.upstream.0));
                 (AttemptResult::Outcome(Outcome::Error, None), false)
             }
             _ = cancelled => (AttemptResult::Outcome(Outcome::Cancelled, None), false),
@@ -298,21 +312,21 @@
         }
     };
     if matches!(result, AttemptResult::ClientDisconnected) {
-        let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
+        let _ = event_sender.send(DriverEvent::AttemptFinished { in_flight, result });
         // Nothing was written, so the connection can be reused as it is.
-        return return_connection(Some(connection), in_flight.upstream, in_flight.incarnation, &events);
+        return return_connection(Some(connection), in_flight.upstream, in_flight.incarnation, &event_sender);
     }
     if reusable {
-        let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
+        let _ = event_sender.send(DriverEvent::AttemptFinished { in_flight, result });
         return_connection(
             connection.wait_until_ready().await,
             in_flight.upstream,
             in_flight.incarnation,
-            &events,
+            &event_sender,
         );
         return;
     }
-    // Close the connection before reporting the end: no other attempt may start while this one can still run.
+    // The connection is closed before the end is reported: no other attempt may start while this one can still run.
     connection.close().await;
     let result = match result {
         // The request was not written completely, so it has not run.
@@ -321,17 +335,17 @@
         }
         result => result,
     };
-    let _ = events.send(DriverEvent::AttemptEnded { in_flight, result });
+    let _ = event_sender.send(DriverEvent::AttemptFinished { in_flight, result });
 }
 
-/// Probes an upstream over an idle or a new connection.
+/// Probes an upstream over an idle or a new connection and sends the driver [`DriverEvent::ProbeFinished`].
 pub async fn run_probe(
     source: ProbeConnection,
     request: Request<Full<Bytes>>,
     upstream: UpstreamId,
     incarnation: u64,
     deadline: Instant,
-    events: mpsc::UnboundedSender<DriverEvent>,
+    event_sender: mpsc::UnboundedSender<DriverEvent>,
 ) {
     let opened = match source {
         ProbeConnection::Idle(connection) => Ok(*connection),
@@ -341,26 +355,32 @@
     };
     let mut response = None;
     if let Ok(mut connection) = opened {
-        let result = timeout_at(deadline, exchange(&mut connection, request, 0, || true)).await;
+        let result =
+            timeout_at(deadline, exchange(&mut connection, request, REQUEST_END_UNUSED, || true)).await;
         if let Ok(Ok(received)) = result {
             response = Some(received);
-            let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
-            return return_connection(connection.wait_until_ready().await, upstream, incarnation, &events);
+            let _ = event_sender.send(DriverEvent::ProbeFinished { upstream, response });
+            return return_connection(
+                connection.wait_until_ready().await,
+                upstream,
+                incarnation,
+                &event_sender,
+            );
         }
         connection.close().await;
     }
-    let _ = events.send(DriverEvent::ProbeFinished { upstream, response });
+    let _ = event_sender.send(DriverEvent::ProbeFinished { upstream, response });
 }
 
-/// Hands a connection back to the driver, unless it was closed.
+/// Returns a connection to the driver, unless it was closed.
 fn return_connection(
     connection: Option<Connection>,
     upstream: UpstreamId,
     incarnation: u64,
-    events: &mpsc::UnboundedSender<DriverEvent>,
+    event_sender: &mpsc::UnboundedSender<DriverEvent>,
 ) {
     if let Some(connection) = connection {
-        let _ = events.send(DriverEvent::ConnectionReturned {
+        let _ = event_sender.send(DriverEvent::ConnectionReturned {
             upstream,
             incarnation,
             connection: Box::new(connection),
@@ -403,7 +423,7 @@
             .retain(|connection| connection.is_usable() && connection.idle_since.elapsed() < idle_timeout);
     }
 
-    /// Since when the connection that has been idle longest has been idle.
+    /// When the connection that has been idle longest became idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(|connection| connection.idle_since)
     }
--- a/src/net/upstream_registry.rs
+++ b/src/net/upstream_registry.rs
@@ -11,8 +11,8 @@
 
 /// An upstream listed by discovery.
 pub struct RegisteredUpstream {
-    /// Its host name.
-    pub host: String,
+    /// Its name in the host list.
+    pub name: String,
     /// Its entry as passed to the decision module.
     pub record: UpstreamRecord,
     /// The address that it listens on.
@@ -23,7 +23,7 @@
     pub pool: ConnectionPool,
     /// When it last started, in Unix milliseconds.
     start_unix_ms: f64,
-    /// Whether it has terminated. It is removed once it has no attempt in flight.
+    /// Whether discovery reports it as gone or no longer lists it. It is removed once it has no attempt in flight.
     gone: bool,
 }
 
@@ -39,8 +39,10 @@
 
 /// All known upstreams, by id and by name.
 pub struct UpstreamRegistry {
+    /// The ids by name in the host list.
     ids: HashMap<String, UpstreamId>,
     by_id: BTreeMap<UpstreamId, RegisteredUpstream>,
+    /// The id that was assigned last; ids are not reused.
     last_id: u64,
     /// Unix time at the origin of the module's clock, in milliseconds.
     epoch_unix_ms: f64,
@@ -67,18 +69,19 @@
         self.by_id.values_mut().map(|server| &mut server.pool)
     }
 
-    /// Applies a complete list or a change of it, and returns its entries in the form of the decision module.
+    /// Applies a host list and returns its entries in the form of the decision module. If it `is_complete`, upstreams
+    /// that are missing from it are gone.
     pub fn apply_list(
         &mut self,
         list: &HostList,
-        whole: bool,
+        is_complete: bool,
         settings: &SettingsObject,
         now: Millis,
     ) -> Vec<UpstreamRecord> {
         let mut records: Vec<UpstreamRecord> =
             list.valid_hosts().map(|host| self.apply_host(host, settings, now)).collect();
-        if whole {
-            // A host with an invalid entry is not missing from the list: its last record stays in use.
+        if is_complete {
+            // An upstream with an invalid entry is not missing from the list: its last record stays in use.
             let invalid = list.invalid_host_names().filter_map(|name| self.ids.get(name));
             records.extend(invalid.filter_map(|id| self.by_id.get(id)).map(|server| server.record.clone()));
             let listed: HashSet<UpstreamId> = records.iter().map(|record| record.upstream).collect();
@@ -90,42 +93,43 @@
 
     /// Applies one entry of a host list.
     fn apply_host(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> UpstreamRecord {
-        let id = *self.ids.entry(host.host.clone()).or_insert_with(|| {
+        let id = *self.ids.entry(host.name.clone()).or_insert_with(|| {
             self.last_id += 1;
             UpstreamId(self.last_id)
         });
         let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
-        let same_start = self.by_id.get(&id).filter(|server| server.start_unix_ms == host.born_ms);
+        let same_start = self.by_id.get(&id).filter(|server| server.start_unix_ms == host.start_unix_ms);
         // A start time in the future, caused by clock skew between machines, counts as now.
         let started_at = match same_start {
             Some(server) => server.record.started_at,
-            None => (host.born_ms > 0.0).then(|| (host.born_ms - self.epoch_unix_ms).min(now)),
+            None => (host.start_unix_ms > 0.0).then(|| (host.start_unix_ms - self.epoch_unix_ms).min(now)),
         };
         let record = UpstreamRecord {
             upstream: id,
-            zone: ZoneId(settings.zone_number(&host.site)),
-            cell: CellId(host.block),
-            ring_position: ring_position(host.host.as_bytes()),
-            machine_type: MachineTypeId(settings.machine_type_number(&host.class)),
+            zone: ZoneId(settings.zone_number(&host.zone)),
+            cell: CellId(host.cell),
+            ring_position: ring_position(host.name.as_bytes()),
+            machine_type: MachineTypeId(settings.machine_type_number(&host.machine_type)),
             lifecycle,
-            weight: host.share,
+            weight: host.weight,
             started_at,
         };
         let server = self.by_id.entry(id).or_insert_with(|| RegisteredUpstream {
-            host: host.host.clone(),
+            name: host.name.clone(),
             record: record.clone(),
-            address: host.dial,
+            address: host.address,
             incarnation: 0,
             pool: ConnectionPool::default(),
-            start_unix_ms: host.born_ms,
+            start_unix_ms: host.start_unix_ms,
             gone: false,
         });
         // After a restart or a change of address, connections are broken or lead to another process.
-        if server.address != host.dial || server.start_unix_ms != host.born_ms {
+        if server.address != host.address || server.start_unix_ms != host.start_unix_ms {
             server.incarnation += 1;
             server.pool.clear();
         }
-        (server.address, server.start_unix_ms, server.record) = (host.dial, host.born_ms, record.clone());
+        (server.address, server.start_unix_ms, server.record) =
+            (host.address, host.start_unix_ms, record.clone());
         server.gone = false;
         if lifecycle == Lifecycle::Draining {
             server.pool.clear();
@@ -136,8 +140,8 @@
         record
     }
 
-    /// Removes upstreams that are gone and not in `in_use`, so that the registry does not grow as hosts are replaced
-    /// under new names. A name that is listed again later is treated as a new upstream.
+    /// Removes upstreams that are gone and not in `in_use`, so that the registry does not grow as upstreams are
+    /// replaced under new names. A name that is listed again later is treated as a new upstream.
     pub fn remove_gone(&mut self, in_use: impl Iterator<Item = UpstreamId>) {
         if self.by_id.values().any(|server| server.gone) {
             let in_use: HashSet<UpstreamId> = in_use.collect();
--- a/src/net/upstream_stream.rs
+++ b/src/net/upstream_stream.rs
@@ -1,5 +1,6 @@
 //! A stream to an upstream that records the progress of its exchanges: the bytes written, which tell whether a
-//! request can have arrived, and whether a request is outstanding, which tells its response from unsolicited bytes.
+//! request can have arrived, and whether a request is outstanding, which distinguishes its response from unsolicited
+//! bytes.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -13,7 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Progress of the current exchange on a connection. Shared with the stream, which hyper owns.
+/// Progress of the exchanges on a connection, shared with the stream that hyper owns. The byte counts are totals of the
+/// connection.
 #[derive(Default)]
 pub struct ExchangeProgress {
     bytes_written: AtomicU64,
@@ -44,14 +46,15 @@
         }
     }
 
-    /// Records that the head of the final response was read.
+    /// Records that a response has started. Called for the first byte that is read, and for the head of the final
+    /// response, since that may be read together with an informational one.
     pub fn mark_response_started(&self) {
         if !self.reading_response.swap(true, Ordering::Relaxed) {
             self.response_start.notify_one();
         }
     }
 
-    /// Whether a response has begun and is not complete.
+    /// Whether a response has started that is not complete.
     pub fn is_reading_response(&self) -> bool {
         self.reading_response.load(Ordering::Relaxed)
     }
--- a/tests/unit/net_config.rs
+++ b/tests/unit/net_config.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/net/config.rs`, included there as its unit tests.
+//! Unit tests of `src/net/config.rs`, which includes this file as its `tests` module.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     assert_eq!(config.limits.connections_per_side(), 500);
     let low_memory = Limits { memory_mb: 16, ..config.limits };
     assert_eq!(low_memory.connections_per_side(), 64, "memory is the tighter limit");
-    assert!(config.known.is_none());
+    assert!(config.saved_list.is_none());
 }
 
 #[test]
--- a/tests/unit/net_discovery.rs
+++ b/tests/unit/net_discovery.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/net/discovery.rs`, included there as its unit tests.
+//! Unit tests of `src/net/discovery.rs`, which includes this file as its `tests` module.
 
 use super::*;
 
@@ -45,6 +45,6 @@
         {"host":"b","dial":"nowhere","health":"ready"},{"host":"c","dial":"127.0.0.1:1","health":"odd"}, 7]}"#,
     )
     .unwrap();
-    let names: Vec<String> = list.valid_hosts().map(|host| host.host.clone()).collect();
+    let names: Vec<String> = list.valid_hosts().map(|host| host.name.clone()).collect();
     assert_eq!(names, ["a"]);
 }
--- a/tests/unit/net_upstream_registry.rs
+++ b/tests/unit/net_upstream_registry.rs
@@ -50,5 +50,5 @@
     registry.apply_list(&host_list(2, "ready"), true, &settings, 9.0);
     registry.remove_gone(std::iter::empty());
     assert_eq!(entry_counts(&registry), (1, 1), "only the listed upstream is kept");
-    assert!(registry.by_id.values().all(|server| server.host == "h2"));
+    assert!(registry.by_id.values().all(|server| server.name == "h2"));
 }
--- a/tests/unit/net_upstream_stream.rs
+++ b/tests/unit/net_upstream_stream.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/net/upstream_stream.rs`, which includes this file as a module.
+//! Unit tests of `src/net/upstream_stream.rs`, which includes this file as its `tests` module.
 
 use std::io::Write;
 
