--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -39,11 +39,11 @@
     #[arg(long)]
     quick: bool,
     /// Only measurements whose name contains this, such as module/ or network/whole
-    #[arg(long, value_name = "NAME")]
-    only: Option<String>,
+    #[arg(long = "only", value_name = "NAME")]
+    name_filter: Option<String>,
     /// Also write the results of every run to this file as JSON
-    #[arg(long, value_name = "FILE")]
-    json: Option<PathBuf>,
+    #[arg(long = "json", value_name = "FILE")]
+    json_file: Option<PathBuf>,
     /// Print one Markdown table instead, as in docs/CAPACITY.md
     #[arg(long)]
     markdown: bool,
@@ -54,7 +54,7 @@
     #[arg(long, hide = true)]
     bench: bool,
     /// Print the memory of a module at SERVERS:SIDECARS in KiB and exit
-    #[arg(long, hide = true)]
+    #[arg(long, hide = true, value_name = "SERVERS:SIDECARS")]
     memory_of: Option<String>,
 }
 
@@ -68,21 +68,21 @@
     network_runs: u64,
     /// Requests per run of the module.
     pub requests: u64,
-    /// Changes of each kind, and snapshots, per run of the module.
+    /// Changes of each kind per run of the module, and also the number of its snapshots.
     pub changes: u64,
-    /// Duration of the calls before the timed ones.
+    /// Duration of the calls that precede the timed ones.
     pub call_warm_up_s: f64,
     /// Duration of the timed calls.
     pub call_measurement_s: f64,
-    /// Snapshots per run of the program, and the base for its number of changes.
-    pub list_updates: u64,
+    /// Snapshots per run of the program. Single changes are sent several times as often.
+    pub snapshots: u64,
     /// How long the idle program is observed.
     pub idle_s: f64,
 }
 
 impl Workload {
     fn new(name_filter: Option<String>, quick: bool) -> Workload {
-        let [requests, changes, list_updates] = if quick { [300, 30, 4] } else { [600, 60, 8] };
+        let [requests, changes, snapshots] = if quick { [300, 30, 4] } else { [600, 60, 8] };
         Workload {
             name_filter,
             module_runs: if quick { 3 } else { 7 },
@@ -91,7 +91,7 @@
             changes,
             call_warm_up_s: if quick { 1.0 } else { 2.0 },
             call_measurement_s: if quick { 1.2 } else { 3.0 },
-            list_updates,
+            snapshots,
             idle_s: if quick { 2.0 } else { 4.0 },
         }
     }
@@ -110,9 +110,10 @@
     /// Date and time in UTC.
     date: String,
     cores: usize,
-    /// Load average of the machine over one minute, before and after the bench.
+    /// Load averages of the machine over one minute, before and after the bench.
     load: [Option<f64>; 2],
     quick: bool,
+    /// Duration of the bench.
     seconds: f64,
     tables: &'a [Table],
     runs: &'a [RunResult],
@@ -130,7 +131,8 @@
         module::NAMES.iter().chain(network::NAMES).for_each(|name| println!("{name}"));
         return Ok(());
     }
-    let workload = Workload::new(args.only, args.quick);
+    // Perform all runs.
+    let workload = Workload::new(args.name_filter, args.quick);
     let (start, load_before) = (Instant::now(), proc::load_average());
     let mut results = Vec::new();
     if module::NAMES.iter().any(|name| workload.selects(name)) {
@@ -143,6 +145,7 @@
             network::run(&workload, &SIZES, &mut results)?;
         }
     }
+    // Summarise the runs, print the summary and write the JSON file.
     let tables = stats::tables(&results);
     let record = BenchRecord {
         revision: command_output("git", &["describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"]),
@@ -165,7 +168,7 @@
         println!("min, median and max over runs; p99 is the median run's 99th percentile\n");
         tables.iter().for_each(stats::print_table);
     }
-    if let Some(path) = args.json {
+    if let Some(path) = args.json_file {
         // Cargo runs benches in the package directory, so a relative path is relative to that.
         std::fs::write(&path, serde_json::to_string_pretty(&record)?)
             .context("cannot write the JSON file")?;
--- a/benches/slopes/network.rs
+++ b/benches/slopes/network.rs
@@ -17,20 +17,34 @@
 use super::proc::{cpu_us, status_kib};
 use super::stats::{LatencyHistogram, RunResult, Size, median};
 
-/// Request rate of an average sidecar.
+/// Request rate of an average sidecar: 400,000 requests per second over 4,600 sidecars.
 const MEAN_REQUESTS_PER_S: f64 = 87.0;
 /// Zones besides the sidecar's own.
 const REMOTE_ZONES: u64 = 20;
 const SERVERS_PER_CELL: u64 = 10;
 /// Upper bound of every wait; reaching it is an error.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Interval of the calls that check whether a change is in effect.
+/// Interval of the calls that check whether an update is in effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Pause before a change is timed. The program may delay a request on a connection that has just carried a response,
-/// which would count as propagation time.
-const PAUSE_BEFORE_CHANGE: Duration = Duration::from_millis(30);
+/// Pause before the propagation of an update is timed. The program may delay a request on a connection that has just
+/// carried a response, which would count as propagation time.
+const PAUSE_BEFORE_UPDATE: Duration = Duration::from_millis(30);
 /// Interval of the keep-alive lines on an open watch.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Single changes per snapshot in the measurements of bytes and CPU time.
+const CHANGES_PER_SNAPSHOT: u64 = 5;
+/// Pauses after an update, in which the stub finishes writing and the program becomes idle.
+const PAUSE_AFTER_SNAPSHOT: Duration = Duration::from_millis(30);
+const PAUSE_AFTER_CHANGE: Duration = Duration::from_millis(8);
+/// Interval of the samples of the CPU time that show whether the program is idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(15);
+/// The program is idle after this many samples without an increase.
+const IDLE_CHECKS: u32 = 3;
+/// The response bodies of the local server and of the remote servers.
+const LOCAL_BODY: &str = "near";
+const REMOTE_BODY: &str = "far";
+/// The load report of all servers.
+const LOAD_REPORT: &str = "TEXT inflight=2, eps=0, util=0.4";
 /// Version of the host list in the program's configuration.
 const INITIAL_SEQ: u64 = 41;
 
@@ -81,10 +95,10 @@
 struct Stubs {
     size: Size,
     /// The only server in the sidecar's zone. Requests go to it while it is ready, otherwise to remote servers.
-    near: SocketAddr,
-    /// The common address of all servers in other zones.
-    far: SocketAddr,
-    discovery: SocketAddr,
+    local_address: SocketAddr,
+    /// The common address of the remote servers, which are all servers in other zones.
+    remote_address: SocketAddr,
+    discovery_address: SocketAddr,
     state: Arc<StubState>,
 }
 
@@ -109,6 +123,7 @@
 }
 
 impl Stubs {
+    /// Starts the stubs. The local server drains in the initial list.
     fn start(size: Size) -> Result<Stubs> {
         let listeners = (0..3).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>()?;
@@ -122,9 +137,9 @@
         });
         let stubs = Stubs {
             size,
-            near: addresses[0],
-            far: addresses[1],
-            discovery: addresses[2],
+            local_address: addresses[0],
+            remote_address: addresses[1],
+            discovery_address: addresses[2],
             state: state.clone(),
         };
         *lock(&state.initial_list) = stubs.snapshot(INITIAL_SEQ, "draining");
@@ -133,29 +148,30 @@
         Ok(stubs)
     }
 
-    /// The entry of the near server.
-    fn near_entry(&self, health: &str) -> String {
-        host_entry("s-near0000", self.near, "z0", 0, health)
+    /// The entry of the local server.
+    fn local_entry(&self, health: &str) -> String {
+        host_entry("s-near0000", self.local_address, "z0", 0, health)
     }
 
-    /// The complete host list, with the given health of the near server.
-    fn snapshot(&self, seq: u64, near_health: &str) -> String {
-        let far_entries = (1..self.size.servers).map(|id| {
+    /// The complete host list, with the given health of the local server.
+    fn snapshot(&self, seq: u64, local_health: &str) -> String {
+        let remote_entries = (1..self.size.servers).map(|id| {
             let zone = format!("z{}", 1 + id / SERVERS_PER_CELL % REMOTE_ZONES);
-            host_entry(&format!("s-{id:08x}"), self.far, &zone, 1 + id / SERVERS_PER_CELL, "ready")
+            host_entry(&format!("s-{id:08x}"), self.remote_address, &zone, 1 + id / SERVERS_PER_CELL, "ready")
         });
-        let entries: Vec<String> = std::iter::once(self.near_entry(near_health)).chain(far_entries).collect();
+        let entries: Vec<String> =
+            std::iter::once(self.local_entry(local_health)).chain(remote_entries).collect();
         host_list(seq, true, &entries)
     }
 
-    /// Sends the health of the near server on the open watches, in a snapshot or as a single change. Returns the size
+    /// Sends the health of the local server on the open watches, in a snapshot or as a single change. Returns the size
     /// of the update.
-    fn publish(&self, as_snapshot: bool, near_health: &str) -> u64 {
+    fn publish(&self, as_snapshot: bool, local_health: &str) -> u64 {
         let seq = self.state.seq.fetch_add(1, Ordering::SeqCst) + 1;
         let line = if as_snapshot {
-            self.snapshot(seq, near_health)
+            self.snapshot(seq, local_health)
         } else {
-            host_list(seq, false, &[self.near_entry(near_health)])
+            host_list(seq, false, &[self.local_entry(local_health)])
         };
         let bytes = chunk(&line).len() as u64;
         let line: Arc<str> = line.into();
@@ -164,17 +180,19 @@
     }
 }
 
+/// An entry of the host list, as JSON.
 fn host_entry(host: &str, dial: SocketAddr, zone: &str, cell: u64, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"{zone}","class":"m2","block":{cell},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
+/// A host list, complete or with changed entries only, as JSON.
 fn host_list(seq: u64, complete: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{complete},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// Frames a line as an HTTP chunk.
+/// Frames a line as a chunk of an HTTP response.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
@@ -182,18 +200,20 @@
 async fn run_stubs(listeners: Vec<TcpListener>, state: Arc<StubState>) {
     let tasks: Vec<_> = listeners
         .into_iter()
-        .zip([Some("near"), Some("far"), None])
-        .map(|(listener, server_name)| tokio::spawn(accept_connections(listener, server_name, state.clone())))
+        .zip([Some(LOCAL_BODY), Some(REMOTE_BODY), None])
+        .map(|(listener, response_body)| {
+            tokio::spawn(accept_connections(listener, response_body, state.clone()))
+        })
         .collect();
     for task in tasks {
         let _ = task.await;
     }
 }
 
-/// Accepts connections as a server of the given name, or as discovery.
+/// Accepts connections as a server with the given response body or, without one, as discovery.
 async fn accept_connections(
     listener: TcpListener,
-    server_name: Option<&'static str>,
+    response_body: Option<&'static str>,
     state: Arc<StubState>,
 ) -> Result<()> {
     listener.set_nonblocking(true)?;
@@ -203,11 +223,11 @@
         stream.set_nodelay(true)?;
         let state = state.clone();
         tokio::spawn(async move {
-            let Some(server_name) = server_name else {
+            let Some(response_body) = response_body else {
                 return state.serve_watch(stream).await;
             };
             state.connections.fetch_add(1, Ordering::SeqCst);
-            let result = serve_requests(stream, server_name, &state).await;
+            let result = serve_requests(stream, response_body, &state).await;
             state.connections.fetch_sub(1, Ordering::SeqCst);
             result
         });
@@ -225,27 +245,30 @@
     }
 }
 
-/// Answers the requests on a server's connection at once, with the server's name and a load report.
+/// Responds at once to the requests on a server's connection, with the given body and a load report.
 async fn serve_requests(
     mut stream: tokio::net::TcpStream,
-    server_name: &str,
+    response_body: &str,
     state: &StubState,
 ) -> Result<()> {
     let mut buffer = Vec::new();
-    let load = "TEXT inflight=2, eps=0, util=0.4";
     let response = |body: &str| {
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Server-Load: {load}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Server-Load: {LOAD_REPORT}\r\n\r\n{body}",
+            body.len()
+        )
     };
     loop {
         let head = read_head(&mut stream, &mut buffer).await?;
         let is_probe = head.starts_with("GET /metrics/load ");
         state.probes.fetch_add(u64::from(is_probe), Ordering::SeqCst);
-        let body = if is_probe { load } else { server_name };
+        let body = if is_probe { LOAD_REPORT } else { response_body };
         stream.write_all(response(body).as_bytes()).await?;
     }
 }
 
 impl StubState {
+    /// Serves a watch: the initial list unless the sidecar has the current version, then each published update.
     async fn serve_watch(&self, mut stream: tokio::net::TcpStream) -> Result<()> {
         let request = read_head(&mut stream, &mut Vec::new()).await?;
         let from_seq =
@@ -266,6 +289,7 @@
         }
     }
 
+    /// Writes on a watch and counts the bytes.
     async fn write_watch(&self, stream: &mut tokio::net::TcpStream, text: &str) -> Result<()> {
         stream.write_all(text.as_bytes()).await?;
         self.watch_bytes.fetch_add(text.len() as u64, Ordering::SeqCst);
@@ -297,12 +321,12 @@
 "fall_multiple":2.5,"must_ask_in":400.0,"warm_up":20000.0}},"kinds":["m2"],"membership_mode":"automatic",
 "peers_total":{},"period":5.0,"rank":{},"telemetry":{{"columns":["inflight","eps","util"],"how":"piggyback"}},
 "tenants":[],"zone":0}}}}"#,
-            stubs.discovery,
+            stubs.discovery_address,
             zones.join(","),
             stubs.size.sidecars,
             stubs.size.sidecars / 3
         );
-        let file_name = format!("slopes-{}-{}.json", std::process::id(), stubs.discovery.port());
+        let file_name = format!("slopes-{}-{}.json", std::process::id(), stubs.discovery_address.port());
         let config_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file_name);
         File::create(&config_file)?.write_all(config.as_bytes())?;
         let start = Instant::now();
@@ -312,8 +336,10 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
+        // The log shows the address; the remaining lines are discarded.
         let mut log = BufReader::new(child.stderr.take().context("standard error is not piped")?);
-        let mut sidecar = Sidecar { child, address: stubs.near, config_file, startup: Duration::ZERO };
+        let mut sidecar =
+            Sidecar { child, address: stubs.local_address, config_file, startup: Duration::ZERO };
         let mut line = String::new();
         sidecar.address = loop {
             line.clear();
@@ -335,9 +361,9 @@
     fn cpu_us_when_idle(&self) -> Result<f64> {
         let (mut previous, mut unchanged_samples) = (cpu_us(self.child.id())?, 0);
         let start = Instant::now();
-        while unchanged_samples < 3 {
+        while unchanged_samples < IDLE_CHECKS {
             ensure!(start.elapsed() < TIMEOUT, "sidecar did not become idle within {TIMEOUT:?}");
-            std::thread::sleep(Duration::from_millis(15));
+            std::thread::sleep(IDLE_CHECK_INTERVAL);
             let current = cpu_us(self.child.id())?;
             unchanged_samples = if current == previous { unchanged_samples + 1 } else { 0 };
             previous = current;
@@ -345,7 +371,7 @@
         Ok(previous)
     }
 
-    /// A memory value of `/proc/PID/status`.
+    /// A memory field of `/proc/PID/status`, in KiB.
     fn memory_kib(&self, field: &str) -> Result<f64> {
         status_kib(self.child.id(), field)
     }
@@ -399,13 +425,13 @@
         }
     }
 
-    /// Makes one call. Returns whether the near server answered it.
-    fn call_reaches_near(&mut self) -> Result<bool> {
+    /// Makes one call. Returns whether the local server responded, and not a remote one.
+    fn call_reaches_local(&mut self) -> Result<bool> {
         let response = self.get("/fetch?k=7f3a9c21")?;
         match response.split_once("\r\n\r\n").map(|(_, body)| body) {
-            Some("near") => Ok(true),
-            Some("far") => Ok(false),
-            _ => bail!("call was not answered by a server: {}", response.lines().next().unwrap_or_default()),
+            Some(LOCAL_BODY) => Ok(true),
+            Some(REMOTE_BODY) => Ok(false),
+            _ => bail!("no server responded to the call: {}", response.lines().next().unwrap_or_default()),
         }
     }
 }
@@ -416,6 +442,7 @@
     sidecar: Sidecar,
 }
 
+/// Totals since the start of a deployment.
 struct Counters {
     watch_bytes: f64,
     cpu_us: f64,
@@ -443,6 +470,7 @@
     if ![IDLE_BYTES, IDLE_CPU].iter().any(|name| workload.selects(name)) {
         return Ok(());
     }
+    // The idle deployments.
     let counters_before = deployments.iter().map(Deployment::counters).collect::<Result<Vec<_>>>()?;
     let start = Instant::now();
     std::thread::sleep(Duration::from_secs_f64(workload.idle_s));
@@ -470,6 +498,7 @@
     };
     let single_value = |name, unit, value| RunResult { name, unit, size, value, samples: None };
     let to_ms = |duration: Duration| duration.as_secs_f64() * 1e3;
+    // The start.
     if workload.selects(START_WITHOUT_LIST) {
         add(single_value(START_WITHOUT_LIST, "ms", to_ms(Sidecar::start(&stubs, false)?.startup)));
     }
@@ -477,18 +506,18 @@
     add(single_value(START_WITH_LIST, "ms", to_ms(sidecar.startup)));
     let startup_cpu_us = sidecar.cpu_us_when_idle()?;
     add(single_value(MEMORY_LIST, "KiB", sidecar.memory_kib("VmRSS")?));
+    // Calls through the sidecar and, for comparison, without it.
     let mut client = Client::connect(sidecar.address)?;
     if [CALL_TIME, CALL_WITHOUT_SIDECAR, CALL_CPU, CONNECTIONS, PROBES, MEMORY_CALLS]
         .iter()
         .any(|name| workload.selects(name))
     {
-        let mut direct_client = Client::connect(stubs.far)?;
+        let mut direct_client = Client::connect(stubs.remote_address)?;
         make_calls(workload.call_warm_up_s, &mut client, &mut direct_client)?;
         let cpu_us_before = sidecar.cpu_us_when_idle()?.max(startup_cpu_us);
         let probes = || stubs.state.probes.load(Ordering::SeqCst) as f64;
         let probes_before = probes();
-        let (sidecar_times, direct_times) =
-            make_calls(workload.call_measurement_s, &mut client, &mut direct_client)?;
+        let call_times = make_calls(workload.call_measurement_s, &mut client, &mut direct_client)?;
         let calls = (workload.call_measurement_s * MEAN_REQUESTS_PER_S).floor();
         add(single_value(CALL_CPU, "us", (sidecar.cpu_us_when_idle()? - cpu_us_before) / calls));
         // Excludes the connection of the direct client.
@@ -496,10 +525,13 @@
         add(single_value(CONNECTIONS, "open", connections as f64));
         add(single_value(PROBES, "/s", (probes() - probes_before) / workload.call_measurement_s));
         add(single_value(MEMORY_CALLS, "KiB", sidecar.memory_kib("VmRSS")?));
-        for (name, times) in [(CALL_TIME, sidecar_times), (CALL_WITHOUT_SIDECAR, direct_times)] {
+        for (name, times) in
+            [(CALL_TIME, call_times.through_sidecar), (CALL_WITHOUT_SIDECAR, call_times.direct)]
+        {
             times.run_result(name, size).into_iter().for_each(&mut add);
         }
     }
+    // Updates of the host list. The local server alternates between ready and draining, beginning with ready.
     for (as_snapshot, [bytes_name, cpu_name, propagation_name]) in [
         (false, [CHANGE_BYTES, CHANGE_CPU, CHANGE_PROPAGATION]),
         (true, [SNAPSHOT_BYTES, SNAPSHOT_CPU, SNAPSHOT_PROPAGATION]),
@@ -510,22 +542,22 @@
         {
             continue;
         }
-        let near_health = |number: u64| if number.is_multiple_of(2) { "ready" } else { "draining" };
+        let local_health = |number: u64| if number.is_multiple_of(2) { "ready" } else { "draining" };
         let cpu_us_before = sidecar.cpu_us_when_idle()?;
-        let (count, mut bytes) = (workload.list_updates * if as_snapshot { 1 } else { 5 }, 0);
-        // The pauses let the stub finish writing and the program become idle before the next update.
+        let (count, mut bytes) = (workload.snapshots * if as_snapshot { 1 } else { CHANGES_PER_SNAPSHOT }, 0);
         for number in 0..count {
-            bytes = stubs.publish(as_snapshot, near_health(number));
-            std::thread::sleep(Duration::from_millis(if as_snapshot { 30 } else { 8 }));
+            bytes = stubs.publish(as_snapshot, local_health(number));
+            std::thread::sleep(if as_snapshot { PAUSE_AFTER_SNAPSHOT } else { PAUSE_AFTER_CHANGE });
         }
         add(single_value(cpu_name, "us", (sidecar.cpu_us_when_idle()? - cpu_us_before) / count as f64));
         add(single_value(bytes_name, "B", bytes as f64));
         let mut propagation_times_ms = Vec::new();
-        for number in 0..workload.list_updates / 2 * 2 {
+        // An even number, so that the local server drains again at the end.
+        for number in 0..workload.snapshots / 2 * 2 {
             propagation_times_ms.push(to_ms(measure_propagation(
                 &stubs,
                 as_snapshot,
-                near_health(number),
+                local_health(number),
                 &mut client,
             )?));
         }
@@ -536,41 +568,44 @@
     Ok(Deployment { stubs, sidecar })
 }
 
-/// Makes calls at the mean rate, each once through the sidecar and once directly to a server. Returns the times of both
-/// in this order.
-fn make_calls(
-    seconds: f64,
-    sidecar_client: &mut Client,
-    direct_client: &mut Client,
-) -> Result<(LatencyHistogram, LatencyHistogram)> {
-    let (mut sidecar_times, mut direct_times) = (LatencyHistogram::new(), LatencyHistogram::new());
+/// Times of the same number of calls on two paths.
+struct CallTimes {
+    through_sidecar: LatencyHistogram,
+    direct: LatencyHistogram,
+}
+
+/// Makes calls at the mean rate, each once through the sidecar and once directly to a server.
+fn make_calls(seconds: f64, sidecar_client: &mut Client, direct_client: &mut Client) -> Result<CallTimes> {
+    let mut call_times =
+        CallTimes { through_sidecar: LatencyHistogram::new(), direct: LatencyHistogram::new() };
     let start = Instant::now();
     for number in 0..(seconds * MEAN_REQUESTS_PER_S) as u64 {
         let scheduled_at = start + Duration::from_secs_f64(number as f64 / MEAN_REQUESTS_PER_S);
         std::thread::sleep(scheduled_at.saturating_duration_since(Instant::now()));
-        for (client, times) in
-            [(&mut *sidecar_client, &mut sidecar_times), (&mut *direct_client, &mut direct_times)]
-        {
+        for (client, times) in [
+            (&mut *sidecar_client, &mut call_times.through_sidecar),
+            (&mut *direct_client, &mut call_times.direct),
+        ] {
             let call_start = Instant::now();
-            client.call_reaches_near()?;
+            client.call_reaches_local()?;
             times.record(call_start.elapsed().as_nanos() as u64);
         }
     }
-    Ok((sidecar_times, direct_times))
+    Ok(call_times)
 }
 
-/// Publishes the health of the near server and makes calls until a response shows that the change is in effect.
+/// Publishes the health of the local server and makes calls until a response shows that the update is in effect.
 fn measure_propagation(
     stubs: &Stubs,
     as_snapshot: bool,
-    near_health: &str,
+    local_health: &str,
     client: &mut Client,
 ) -> Result<Duration> {
-    std::thread::sleep(PAUSE_BEFORE_CHANGE);
+    std::thread::sleep(PAUSE_BEFORE_UPDATE);
     let start = Instant::now();
-    stubs.publish(as_snapshot, near_health);
-    while client.call_reaches_near()? != (near_health == "ready") {
-        ensure!(start.elapsed() < TIMEOUT, "a change was not in effect within {TIMEOUT:?}");
+    stubs.publish(as_snapshot, local_health);
+    while client.call_reaches_local()? != (local_health == "ready") {
+        ensure!(start.elapsed() < TIMEOUT, "an update of the host list was not in effect within {TIMEOUT:?}");
         std::thread::sleep(POLL_INTERVAL);
     }
     Ok(start.elapsed())
--- a/benches/slopes/proc.rs
+++ b/benches/slopes/proc.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 
-/// A memory value of `/proc/PID/status`, in KiB.
+/// A memory field of `/proc/PID/status`, such as `VmRSS`, in KiB.
 pub fn status_kib(pid: u32, field: &str) -> Result<f64> {
     let status = fs::read_to_string(format!("/proc/{pid}/status"))?;
     let value = status.lines().find_map(|line| line.strip_prefix(field)?.strip_prefix(':'));
@@ -19,6 +19,7 @@
     let mut cpu_ns = 0.0;
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
         let schedstat = fs::read_to_string(task?.path().join("schedstat"))?;
+        // The first field is the CPU time in nanoseconds.
         cpu_ns +=
             schedstat.split_whitespace().next().context("schedstat of a thread is empty")?.parse::<f64>()?;
     }
--- a/benches/slopes/stats.rs
+++ b/benches/slopes/stats.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Groups the results into one table per measurement.
+/// Groups the results into one table per measurement, in the order in which the names first occur.
 pub fn tables(results: &[RunResult]) -> Vec<Table> {
     let mut order: Vec<&'static str> = Vec::new();
     let mut grouped: BTreeMap<&'static str, Vec<&RunResult>> = BTreeMap::new();
@@ -146,6 +146,7 @@
     order.iter().map(|name| table(&grouped[name])).collect()
 }
 
+/// Summarises the results of one measurement.
 fn table(results: &[&RunResult]) -> Table {
     let mut sizes: Vec<Size> = Vec::new();
     for result in results {
@@ -157,6 +158,7 @@
     Table { name: results[0].name, unit: results[0].unit, slope: slope(&rows), rows }
 }
 
+/// Summarises the results of one measurement at one size.
 fn row(size: Size, results: &[&RunResult]) -> Row {
     let at_size: Vec<&&RunResult> = results.iter().filter(|result| result.size == size).collect();
     let values: Vec<f64> = at_size.iter().map(|result| result.value).collect();
@@ -184,6 +186,7 @@
 
 /// Fits the medians; `None` if there are fewer than two sizes.
 fn slope(rows: &[Row]) -> Option<Slope> {
+    // The points of the medians, with both coordinates scaled.
     let points = |scale: fn(f64) -> f64| -> Vec<Point> {
         rows.iter().map(|row| Point { x: scale(row.size.servers as f64), y: scale(row.median) }).collect()
     };
@@ -208,6 +211,11 @@
     Some(Line { intercept: mean_y - slope * mean_x, slope })
 }
 
+/// Formats the exponent of a fit with two decimal places; `-` if there is none.
+fn format_exponent(k: Option<f64>) -> String {
+    k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"))
+}
+
 /// Prints a measurement as a plain text table.
 pub fn print_table(table: &Table) {
     println!("{} [{}]", table.name, table.unit);
@@ -229,7 +237,6 @@
         );
     }
     if let Some(slope) = table.slope {
-        let format_exponent = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
         println!(
             "  k {} (last two sizes {}), base {}, per 1,000 servers {}",
             format_exponent(slope.k),
@@ -246,13 +253,13 @@
 pub fn print_markdown(tables: &[Table], sizes: &[Size]) {
     let size_headings: String = sizes.iter().map(|size| format!(" {} |", size.servers)).collect();
     println!("\n| measurement | unit |{size_headings} min to max | p99 | k | k, last two | per 1,000 |");
+    // Besides the sizes: name, unit, range, 99th percentile, two exponents and the slope.
     println!("|{}", " --- |".repeat(sizes.len() + 7));
     for table in tables {
         let median_cells: String =
             table.rows.iter().map(|row| format!(" {} |", format_number(row.median))).collect();
         let Some(last) = table.rows.last() else { continue };
         let p99 = last.p99.map_or_else(|| "-".to_owned(), format_number);
-        let format_exponent = |k: Option<f64>| k.map_or_else(|| "-".to_owned(), |k| format!("{k:.2}"));
         let slope_cells = table.slope.map_or_else(String::new, |slope| {
             format!(
                 " {} | {} | {} |",
