--- a/benches/hollow/processes.rs
+++ b/benches/hollow/processes.rs
@@ -25,10 +25,19 @@
 const OBSERVATION_PERIOD: Duration = Duration::from_secs(8);
 /// Time within which a sidecar must log its listening address.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time from the start of the last sidecar until the idle fleet is measured.
+const SETTLING_PERIOD: Duration = Duration::from_secs(3);
+/// Interval of the checks whether a sidecar listens or a change has propagated.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Pauses before a change is published and after it has propagated, for work that still goes on.
+const PAUSE_BEFORE_CHANGE: Duration = Duration::from_millis(300);
+const PAUSE_AFTER_CHANGE: Duration = Duration::from_millis(200);
 /// Number of single changes that are measured without a fault.
 const CHANGE_COUNT: usize = 8;
 /// Sidecars to which requests are sent without a pause, which limits the load on a shared machine.
 const REQUEST_BATCH: usize = 20;
+/// The pause after each batch of requests.
+const PAUSE_AFTER_BATCH: Duration = Duration::from_millis(10);
 /// How long discovery is down in the outage scenarios.
 const OUTAGE_DURATION: Duration = Duration::from_secs(5);
 
@@ -251,7 +260,7 @@
                 sidecar.address = address;
                 return Ok(sidecar);
             }
-            sleep(Duration::from_millis(20)).await;
+            sleep(POLL_INTERVAL).await;
         }
         Err(io::Error::other("sidecar did not log its listening address in time"))
     }
@@ -320,7 +329,7 @@
     local_servers: [SocketAddr; 2],
     /// The index of the local server that is ready.
     ready_index: usize,
-    /// The host list entries of the servers in the other zone, each with a leading comma.
+    /// The host list entries of the remote servers, which are in the other zone, each with a leading comma.
     remote_entries: String,
     next_request_id: u64,
 }
@@ -350,7 +359,7 @@
             for (sidecar, id) in batch.iter().zip(ids) {
                 served += usize::from(sidecar.send_request(id).await?);
             }
-            sleep(Duration::from_millis(10)).await;
+            sleep(PAUSE_AFTER_BATCH).await;
         }
         lock(&self.observations).connections_closed.clear();
         Ok(served)
@@ -381,7 +390,7 @@
             if closed >= self.sidecars.len() {
                 break;
             }
-            sleep(Duration::from_millis(20)).await;
+            sleep(POLL_INTERVAL).await;
         }
         let observations = lock(&self.observations);
         let closed_at = observations.connections_closed.get(&(1 - self.ready_index)).into_iter().flatten();
@@ -396,7 +405,8 @@
         lock(&self.observations).bytes
     }
 
-    /// Injects a fault into the discovery stub, publishes a change during it and reports its propagation.
+    /// Injects a fault into the discovery stub, publishes a change during it and reports the propagation of the change.
+    /// Watches that are open are reset by the fault or, without `reset_old_watches`, fall silent.
     async fn measure_fault(
         &mut self,
         name: &str,
@@ -506,7 +516,7 @@
         fleet.sidecars.push(sidecar);
     }
     let start_duration = start.elapsed();
-    sleep(Duration::from_secs(3)).await;
+    sleep(SETTLING_PERIOD).await;
     let mut report = Report::new(name);
     report.add_value("sidecars", sidecar_count as f64);
     report.add_value("servers listed", server_count as f64);
@@ -527,11 +537,11 @@
     let (mut cpu_ns, mut bytes, mut seconds, mut not_observed) = (0, 0, 0.0, 0);
     for _ in 0..CHANGE_COUNT {
         fleet.open_connections().await?;
-        sleep(Duration::from_millis(300)).await;
+        sleep(PAUSE_BEFORE_CHANGE).await;
         let (cpu_ns_before, bytes_before) = (fleet.cpu_ns(), fleet.watch_bytes());
         let published_at = fleet.swap_local_servers();
         let delays = fleet.await_propagation(published_at).await;
-        sleep(Duration::from_millis(200)).await;
+        sleep(PAUSE_AFTER_CHANGE).await;
         cpu_ns += fleet.cpu_ns() - cpu_ns_before;
         bytes += fleet.watch_bytes() - bytes_before;
         seconds += published_at.elapsed().as_secs_f64();
--- a/benches/slopes/network.rs
+++ b/benches/slopes/network.rs
@@ -26,6 +26,8 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of the calls that check whether an update is in effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval of the checks whether the program is up.
+const UP_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Pause before the propagation of an update is timed. The program may delay a request on a connection that has just
 /// carried a response, which would count as propagation time.
 const PAUSE_BEFORE_UPDATE: Duration = Duration::from_millis(30);
@@ -351,7 +353,7 @@
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         while !Client::connect(sidecar.address)?.get("/up")?.starts_with("HTTP/1.1 200") {
             ensure!(start.elapsed() < TIMEOUT, "sidecar did not report that it is up within {TIMEOUT:?}");
-            std::thread::sleep(Duration::from_millis(1));
+            std::thread::sleep(UP_CHECK_INTERVAL);
         }
         sidecar.startup = start.elapsed();
         Ok(sidecar)
