--- a/src/api.rs
+++ b/src/api.rs
@@ -99,7 +99,7 @@
     pub allow_cancellation: bool,
     /// The longest retry delay that clients honour after a refusal; 0 if they honour none.
     pub max_retry_after: Millis,
-    /// The shortest time between two batches of events.
+    /// The shortest time between two batches of events that are passed to the module.
     pub min_event_interval: Millis,
 }
 
@@ -145,7 +145,7 @@
     pub sidecar_index: Option<u32>,
     /// The cost of sending one request to another zone, as a fraction of the mean request value.
     pub zone_crossing_cost: f64,
-    /// The cost of one probe per request over all sidecars together, as a fraction of the mean request value.
+    /// The cost of one probe, as a fraction of the mean request value.
     pub probe_cost: f64,
     /// Whether responses to requests carry load reports; if not, only probes do.
     pub reports_in_responses: bool,
@@ -183,14 +183,14 @@
     pub lifecycle: Lifecycle,
     /// The capacity of the server relative to others; 1 if unknown.
     pub weight: f64,
-    /// The time of the last start, if it was recent.
+    /// The time of the last start; `None` if unknown, in which case the server counts as warm.
     pub started_at: Option<Millis>,
 }
 
 /// An update of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiscoveryUpdate {
-    /// The complete list as saved before a restart of the sidecar; may be stale.
+    /// The complete list as saved before a restart of the sidecar, which may be out of date.
     Restored(Vec<UpstreamRecord>),
     /// The complete current list; servers missing from it are gone.
     Snapshot(Vec<UpstreamRecord>),
@@ -284,9 +284,9 @@
     ProbeFinished {
         /// The server that was probed.
         upstream: UpstreamId,
-        /// Whether the server answered.
+        /// Whether the server responded.
         answered: bool,
-        /// The load report in the answer.
+        /// The load report in the response.
         report: Option<LoadReport>,
     },
     /// Discovery updated the server list.
@@ -314,14 +314,14 @@
         /// The number of the attempt.
         attempt: AttemptNo,
     },
-    /// End the request with a refusal: it had no effect that makes a retry unsafe.
+    /// End the request with a refusal: the client may safely retry it.
     Refuse {
         /// The request to refuse.
         request: RequestId,
         /// How long the client should wait before it retries.
         retry_after: Millis,
     },
-    /// End the request with a failure: it may have run, so a retry may be unsafe.
+    /// End the request with a failure: a server may have executed it, so a retry may be unsafe.
     Fail(RequestId),
     /// Ask a server for a load report.
     Probe(UpstreamId),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,13 +38,13 @@
 const MAX_RESPONSE_TIME_FRACTION: f64 = 0.6;
 /// The admission limit is lowered while a larger fraction of attempts than this ends late.
 const TARGET_LATE_FRACTION: f64 = 0.15;
-/// Time constant of the control of the admission limit.
+/// Time constant with which the admission limit adapts.
 const ADMISSION_TIME_CONSTANT: Millis = 800.0;
 /// Exponent of a request's relative value in the admission limit; 0 ignores the value.
 const ADMISSION_VALUE_EXPONENT: f64 = 0.4;
 /// Gain by which the admission limit rises for a class with a refusal rate above the overall rate.
 const CLASS_FAIRNESS_GAIN: f64 = 0.5;
-/// A server is idle up to this projected utilisation or up to an in-flight count, this request included, that
+/// A server is idle up to this utilisation or this in-flight count, both with the request included; the count
 /// falls with the refusal rate. Empty servers are always idle, so that wrong estimates can be corrected.
 const IDLE_UTILISATION: f64 = 0.5;
 const IDLE_IN_FLIGHT: f64 = 2.5;
@@ -75,6 +75,7 @@
 const SUBSCRIBE_BACKOFF_FRACTION: f64 = 0.25;
 /// Two backoffs and a call that hangs for 2.5 s must fit in the 6 s after which an update counts as missed.
 const MAX_SUBSCRIBE_BACKOFF: Millis = 1_500.0;
+const SUBSCRIBE_TIMER_TOKEN: u64 = 0;
 
 /// The decision module of one sidecar. The same settings, seed and events produce the same actions.
 #[derive(Debug)]
@@ -120,7 +121,7 @@
             Event::RequestAbandoned(request) => self.close_request(request, out),
             Event::ProbeFinished { upstream, answered, report } => self.on_probe(upstream, answered, report),
             Event::DiscoveryUpdated(update) => self.on_discovery(update, out),
-            Event::TimerFired(0) if std::mem::take(&mut self.state.subscribe_pending) => {
+            Event::TimerFired(SUBSCRIBE_TIMER_TOKEN) if std::mem::take(&mut self.state.subscribe_pending) => {
                 out.push(Action::Subscribe)
             }
             Event::TimerFired(_) => {}
@@ -148,7 +149,7 @@
         self.dispatch(request, out);
     }
 
-    /// Sends a request to the better server of a random pair, or ends it if there is none.
+    /// Sends a request to the better server of a random pair; refuses or fails it if there is none.
     fn dispatch(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request).cloned() else { return };
         let Selection { has_room, has_alternatives, pair } = self.select(&pending, out);
@@ -315,7 +316,7 @@
         group.service_time_ratio + (upstream.service_time_ratio - group.service_time_ratio) * decay
     }
 
-    /// Whether a server is not ejected, or half-open and without a trial in flight.
+    /// Whether a server is not ejected, or its ejection has expired and no trial request is in flight.
     fn is_available(&self, upstream: &Upstream) -> bool {
         match upstream.health {
             Health::Ready => true,
@@ -365,7 +366,7 @@
         out.push(Action::Send { request, upstream: server.id, timeout });
     }
 
-    /// Timeout of an attempt: if a retry is possible, leaves time for one before the latency server.
+    /// Timeout of an attempt: if a retry is possible, leaves time for one before the latency target.
     fn attempt_timeout(&self, pending: &PendingRequest, server: Candidate, has_alternatives: bool) -> Millis {
         let time_left = (pending.deadline - self.now).max(0.0);
         let class = &self.settings.classes[pending.class.0];
@@ -380,7 +381,7 @@
         available.max(MIN_TIMEOUT_FACTOR * server.expected_response_time()).min(time_left)
     }
 
-    /// Completes the request of a finished attempt, retries it or ends it without a response.
+    /// Closes the request of a finished attempt, retries it, or refuses or fails it.
     fn on_attempt_finished(&mut self, result: AttemptFinished, out: &mut Vec<Action>) {
         let (request, outcome) = (result.request, result.outcome);
         let Some(pending) = self.requests.get_mut(&request) else { return };
@@ -391,7 +392,7 @@
         let rejected = outcome == Outcome::Rejected;
         let latency_target = self.settings.classes[pending.class.0].latency_target;
         let late = rejected || self.now > pending.arrived_at + latency_target;
-        // Weighted by the time since the last result: the limit then recovers as fast at low request rates.
+        // Weighted by the time since the last result, so that the limit also recovers at low request rates.
         let weight = 1.0 - (-(self.now - self.state.last_attempt_ended_at) / ADMISSION_TIME_CONSTANT).exp();
         let weight =
             if rejected { SERVER_EWMA_WEIGHT } else { weight.clamp(FLEET_EWMA_WEIGHT, SERVER_EWMA_WEIGHT) };
@@ -585,7 +586,7 @@
         if must_subscribe && !std::mem::replace(&mut self.state.subscribe_pending, true) {
             // Full jitter: many sidecars may lose discovery at the same time.
             let at = self.now + self.state.subscribe_backoff * self.rng.rand_float();
-            out.push(Action::SetTimer { at, token: 0 });
+            out.push(Action::SetTimer { at, token: SUBSCRIBE_TIMER_TOKEN });
         }
     }
 }
--- a/src/bin/sagemast-simhost/main.rs
+++ b/src/bin/sagemast-simhost/main.rs
@@ -18,11 +18,11 @@
     report_columns: Vec<ReportColumn>,
 }
 
-/// All instances, and the upstream lists that sync events refer to by number.
+/// All instances by name of the sidecar, and the server lists that sync events refer to by number.
 #[derive(Default)]
 struct Adapter {
     instances: HashMap<String, Instance>,
-    upstream_lists: BTreeMap<u64, Vec<UpstreamRow>>,
+    server_lists: BTreeMap<u64, Vec<UpstreamRow>>,
 }
 
 impl Adapter {
@@ -59,7 +59,7 @@
                 return Ok(());
             }
             WireEvent::DefineList { list_number, rows } => {
-                self.upstream_lists.insert(list_number, rows);
+                self.server_lists.insert(list_number, rows);
                 return Ok(());
             }
             WireEvent::Killed => {
@@ -73,8 +73,8 @@
         let instance = self
             .instances
             .get_mut(sidecar)
-            .ok_or_else(|| format!("received an event for {sidecar}, which is not running"))?;
-        if let Some(event) = to_module_event(event, &instance.report_columns, &self.upstream_lists)? {
+            .ok_or_else(|| format!("received an event for sidecar {sidecar}, which is not running"))?;
+        if let Some(event) = to_module_event(event, &instance.report_columns, &self.server_lists)? {
             instance.balancer.handle(now, event, actions);
         }
         Ok(())
@@ -85,21 +85,21 @@
 fn to_module_event(
     event: WireEvent,
     report_columns: &[ReportColumn],
-    upstream_lists: &BTreeMap<u64, Vec<UpstreamRow>>,
+    server_lists: &BTreeMap<u64, Vec<UpstreamRow>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match event {
         WireEvent::Sync { mode, list_number } => {
-            let upstreams = || -> Result<Vec<UpstreamRecord>, String> {
-                let list_number = list_number.ok_or("sync event without a list number")?;
-                let rows = upstream_lists
-                    .get(&list_number)
-                    .ok_or_else(|| format!("list {list_number} is not defined"))?;
+            let records = || -> Result<Vec<UpstreamRecord>, String> {
+                let list_number = list_number.ok_or("sync event has no server list number")?;
+                let rows = server_lists.get(&list_number).ok_or_else(|| {
+                    format!("sync event refers to server list {list_number}, which is not defined")
+                })?;
                 Ok(rows.iter().map(UpstreamRecord::from).collect())
             };
             Event::DiscoveryUpdated(match mode {
-                SyncMode::Delta => DiscoveryUpdate::Delta(upstreams()?),
-                SyncMode::Snapshot => DiscoveryUpdate::Snapshot(upstreams()?),
-                SyncMode::Restored => DiscoveryUpdate::Restored(upstreams()?),
+                SyncMode::Delta => DiscoveryUpdate::Delta(records()?),
+                SyncMode::Snapshot => DiscoveryUpdate::Snapshot(records()?),
+                SyncMode::Restored => DiscoveryUpdate::Restored(records()?),
                 SyncMode::Unavailable => DiscoveryUpdate::Unavailable,
             })
         }
--- a/src/bin/sagemast-simhost/wire.rs
+++ b/src/bin/sagemast-simhost/wire.rs
@@ -10,6 +10,7 @@
 pub struct Batch {
     #[serde(rename = "wall")]
     pub now: f64,
+    /// Identifies the batch; the reply returns it.
     pub turn: u64,
     pub parts: Vec<Inbox>,
 }
@@ -22,21 +23,25 @@
     pub events: Vec<WireEvent>,
 }
 
+/// An event of one sidecar, or an instruction to the adapter.
 #[derive(Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireEvent {
+    /// The sidecar starts, with an empty server list.
     #[serde(rename = "hello")]
     Start {
         #[serde(rename = "salt")]
         seed: u64,
         config: Box<SettingsObject>,
     },
+    /// Defines a server list that sync events of all sidecars refer to by its number.
     DefineList {
         #[serde(rename = "list")]
         list_number: u64,
         #[serde(rename = "rows_in")]
         rows: Vec<UpstreamRow>,
     },
+    /// Discovery updates the server list of the sidecar.
     Sync {
         mode: SyncMode,
         #[serde(rename = "list")]
@@ -52,10 +57,12 @@
         #[serde(rename = "category")]
         class: usize,
         #[serde(default, rename = "state_bits")]
+        /// Bits such as [`FLAG_COST_VALID`].
         flags: u64,
         #[serde(rename = "cost_guess")]
         cost: Option<f64>,
     },
+    /// The sidecar is killed and loses its state.
     Killed,
     #[serde(rename = "pong")]
     ProbeFinished {
@@ -75,6 +82,7 @@
         #[serde(rename = "xid")]
         request: WireRequestId,
     },
+    /// A message from another sidecar; not used.
     #[serde(rename = "heard")]
     PeerMessage {},
     #[serde(rename = "returned")]
@@ -92,6 +100,7 @@
         #[serde(rename = "server_stats")]
         report: Option<Vec<f64>>,
     },
+    /// An attempt was started; not used.
     #[serde(rename = "under_way")]
     AttemptStarted {},
 }
@@ -99,6 +108,7 @@
 /// Bit of [`WireEvent::RequestArrived::flags`]: the cost estimate is valid.
 pub const FLAG_COST_VALID: u64 = 1;
 
+/// The kind of a server list update, as in [`DiscoveryUpdate`].
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncMode {
@@ -168,7 +178,7 @@
     }
 }
 
-/// An entry of an upstream list.
+/// An entry of a server list.
 #[derive(Deserialize, Clone)]
 pub struct UpstreamRow {
     upstream: u64,
@@ -231,6 +241,7 @@
     pub actions: Vec<WireAction>,
 }
 
+/// An [`Action`] as written on the wire.
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireAction {
--- a/src/model.rs
+++ b/src/model.rs
@@ -5,7 +5,20 @@
 
 use crate::api::*;
 
-/// An attempt of a pending request.
+/// Capacity of a cold server's token bucket; small, as many sidecars may spend their tokens at once.
+const MAX_COLD_START_TOKENS: f64 = 2.0;
+/// First step of a running median as a fraction of the median; later steps are smaller.
+const INITIAL_MEDIAN_STEP: f64 = 0.5;
+/// Smallest step of the running median of costs, as a fraction of the median.
+const MIN_MEDIAN_COST_STEP: f64 = 0.01;
+/// Relative costs are clamped to this factor in both directions, since clients' estimates may be wrong.
+const MAX_RELATIVE_COST: f64 = 10.0;
+/// Lower bound on samples of the service time ratio, so that their geometric average stays positive.
+const MIN_SERVICE_TIME_RATIO_SAMPLE: f64 = 0.01;
+/// Lower bound on the capacity fraction of a cold server, since estimates are divided by it.
+const MIN_CAPACITY_FRACTION: f64 = 0.01;
+
+/// An attempt as kept with its request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
     pub upstream: UpstreamId,
@@ -13,6 +26,7 @@
     pub cell: CellId,
     pub sent_at: Millis,
     pub in_flight: bool,
+    /// Whether the server may have executed the request.
     pub may_have_run: bool,
 }
 
@@ -36,6 +50,7 @@
     pub class: ClassId,
     pub tenant: TenantId,
     pub arrived_at: Millis,
+    /// When the client stops waiting.
     pub deadline: Millis,
     /// The client's estimate of the work.
     pub cost: Option<f64>,
@@ -64,10 +79,7 @@
     }
 }
 
-/// Capacity of a cold server's token bucket; small, as many sidecars may spend their tokens at once.
-const MAX_COLD_START_TOKENS: f64 = 2.0;
-
-/// An attempt that a server has not answered yet.
+/// An attempt that a server has not answered yet. It is kept with the server, as it may outlive its request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutstandingAttempt {
     pub request: RequestId,
@@ -78,18 +90,13 @@
     pub candidate: Candidate,
 }
 
-/// Smallest step of the running median of costs, as a fraction of the median.
-const MEDIAN_COST_STEP: f64 = 0.01;
-/// Relative costs are clamped to this factor in both directions, since clients' estimates may be wrong.
-const MAX_RELATIVE_COST: f64 = 10.0;
-
 /// Statistics of one request class.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClassStats {
     /// Running median of the service time, from responses that did not wait in a queue.
     pub service_time: Millis,
     pub service_time_samples: f64,
-    /// Moving average of the fraction of its requests that were refused.
+    /// Moving average of the fraction of selections for its requests for which no server had room.
     pub refusal_rate: f64,
     /// Running median of the clients' cost estimates.
     median_cost: f64,
@@ -111,7 +118,7 @@
     pub fn relative_cost(&mut self, cost: Option<f64>) -> f64 {
         let Some(cost) = cost.filter(|cost| cost.is_finite() && *cost > 0.0) else { return 1.0 };
         self.cost_samples += 1.0;
-        let step = self.median_cost * (0.5 / self.cost_samples).max(MEDIAN_COST_STEP);
+        let step = self.median_cost * (INITIAL_MEDIAN_STEP / self.cost_samples).max(MIN_MEDIAN_COST_STEP);
         if self.cost_samples == 1.0 {
             self.median_cost = cost;
         } else if cost > self.median_cost {
@@ -122,10 +129,10 @@
         (cost / self.median_cost).clamp(1.0 / MAX_RELATIVE_COST, MAX_RELATIVE_COST)
     }
 
-    /// Moves the median service time towards a sample by the fraction `min_step`; more for the first samples.
+    /// Moves the median service time towards a sample by the fraction `min_step`, or more for the first samples.
     pub fn add_service_time(&mut self, sample: Millis, min_step: f64) {
         self.service_time_samples += 1.0;
-        let step = self.service_time * min_step.max(0.5 / self.service_time_samples);
+        let step = self.service_time * min_step.max(INITIAL_MEDIAN_STEP / self.service_time_samples);
         self.service_time += if sample > self.service_time { step } else { -step };
     }
 }
@@ -168,7 +175,8 @@
     /// Adds a service time relative to the fleet with weight `min_weight`, or more for the first responses.
     pub fn add_response(&mut self, service_time_ratio: f64, min_weight: f64) {
         self.response_count += 1.0;
-        self.service_time_ratio *= (service_time_ratio.max(0.01) / self.service_time_ratio)
+        self.service_time_ratio *= (service_time_ratio.max(MIN_SERVICE_TIME_RATIO_SAMPLE)
+            / self.service_time_ratio)
             .powf(min_weight.max(1.0 / (1.0 + self.response_count)));
     }
 }
@@ -214,12 +222,15 @@
     pub mean_value_per_service_ms: Option<f64>,
     /// Each tenant's fraction of the arrivals at this sidecar, indexed by tenant.
     pub tenant_shares: Vec<f64>,
+    /// Rate of arriving requests.
     pub arrivals: EventRate,
+    /// Rate of successful attempts.
     pub successes: EventRate,
     /// Moving average of the reported load as a fraction of the servers' full capacity when warm.
     pub fleet_utilisation: f64,
-    /// Time of the last report or, before any report, of the first server list.
+    /// Time of the last report or, before any report, of the first update from discovery.
     pub fleet_utilisation_updated_at: Option<Millis>,
+    /// Time of the first report from which a capacity can be estimated.
     pub first_report_at: Option<Millis>,
     /// Upper bound of the random delay before the next subscription to discovery.
     pub subscribe_backoff: Millis,
@@ -253,6 +264,7 @@
 /// Outlier ejection state of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Health {
+    /// Not ejected.
     Ready,
     /// Receives no requests until `until`, then one trial request at a time.
     Ejected {
@@ -284,7 +296,7 @@
     pub probe_sent_at: Millis,
     /// Unanswered attempts of this sidecar, oldest first.
     pub outstanding: Vec<OutstandingAttempt>,
-    /// Moving average of the service time relative to the fleet.
+    /// Moving average of the service time relative to the fleet, adjusted for warm-up.
     pub service_time_ratio: f64,
     pub service_time_ratio_updated_at: Millis,
     pub last_response_at: Millis,
@@ -315,6 +327,7 @@
     pub projected_utilisation: f64,
     /// Expected response time of a request of median cost, in service times of this server.
     pub queueing_factor: f64,
+    /// Whether the load of the server is so low that admission control always accepts the request.
     pub idle: bool,
     /// Expected response time of a request of median cost.
     pub typical_response_time: Millis,
@@ -428,7 +441,7 @@
                 let age = (now - started_at).max(0.0);
                 (cold_start.initial_capacity_fraction
                     + (1.0 - cold_start.initial_capacity_fraction) * age / cold_start.warm_up)
-                    .max(0.01)
+                    .max(MIN_CAPACITY_FRACTION)
             }
             _ => 1.0,
         }
--- a/src/server_list.rs
+++ b/src/server_list.rs
@@ -1,5 +1,5 @@
-//! The listed servers and totals over them. The totals are updated with each change of a server: the cost of
-//! a request does not grow with the number of servers. Part of the decision module in `src/balancer.rs`.
+//! The listed servers and totals over them. The totals are updated with each change of a server, so that the
+//! cost of a request does not grow with the number of servers. Part of the decision module in `src/balancer.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,13 +26,15 @@
     pub cell: CellId,
 }
 
-/// The serving servers of a zone in ascending order.
+/// The serving servers of a zone in ring order.
 pub(crate) type Ring = Vec<RingEntry>;
 
 /// Totals over the serving servers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct ServingTotals {
+    /// Number of serving servers.
     pub serving: i64,
+    /// Number of serving servers that are ejected.
     pub ejected: i64,
     /// Reports from before this time are stale.
     pub fresh_since: Millis,
@@ -50,6 +52,7 @@
 pub(crate) struct ServerList {
     /// Fields that the totals depend on may be changed only through [`ServerList::update`].
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
+    /// The ring of each zone that has serving servers.
     pub rings: BTreeMap<ZoneId, Ring>,
     totals: ServingTotals,
     /// Times of reports, oldest first. An entry is obsolete once its server has reported again.
@@ -66,7 +69,7 @@
         self.failure_rate * (-(now - self.failure_rate_updated_at) / FAILURE_RATE_TIME_CONSTANT).exp()
     }
 
-    /// In-flight requests of other sidecars in fixed point.
+    /// In-flight requests of other sidecars at this server, in fixed point.
     pub fn fixed_point_others_in_flight(&self) -> i64 {
         let clamped = self.others_in_flight.clamp(-MAX_OTHERS_IN_FLIGHT, MAX_OTHERS_IN_FLIGHT);
         (clamped * FIXED_POINT_SCALE) as i64
@@ -113,7 +116,7 @@
         self.rings.get_key_value(&first).into_iter().chain(others)
     }
 
-    /// The totals as of `now`: removes reports that have gone stale.
+    /// The totals as of `now`, without reports that have gone stale.
     pub fn totals(&mut self, now: Millis) -> &ServingTotals {
         self.totals.fresh_since = now - REPORT_MAX_AGE;
         while let Some(&(at, id)) = self.report_times.front().filter(|(at, _)| *at < self.totals.fresh_since)
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -12,7 +12,8 @@
 /// The subset is sized so that each of its servers receives one request per this interval: load reports then
 /// arrive about as often as they go stale.
 const REQUEST_INTERVAL_PER_SERVER: Millis = 1_000.0;
-/// The subset is recomputed after this time, or at once when the server list or an ejection changes.
+/// The subset is recomputed after this time, or at once when the server list or the health of a
+/// server changes.
 const SUBSET_REFRESH_INTERVAL: Millis = 100.0;
 /// Time constant of the arrival and success rates. It is long, so that a burst does not enlarge the subset
 /// and with it the number of connections.
@@ -28,7 +29,7 @@
 const PROBE_COST_FRACTION: f64 = 0.001;
 /// Capacity of the probe budget's token bucket.
 pub(crate) const MAX_PROBE_TOKENS: f64 = 2.0;
-/// The fractional parts of any number of its multiples are spread evenly between 0 and 1.
+/// The fractional parts of its first n multiples are spread evenly between 0 and 1, whatever n is.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
 /// The servers that this sidecar draws from.
@@ -42,9 +43,10 @@
     pub basis: Option<SubsetBasis>,
 }
 
-/// The inputs of a subset that decide whether it is still current.
+/// When and from which version of the server list a subset was computed.
 #[derive(Debug)]
 pub(crate) struct SubsetBasis {
+    /// [`ServerList::version`](crate::server_list::ServerList::version) at that time.
     pub list_version: u64,
     pub computed_at: Millis,
 }
@@ -197,7 +199,7 @@
             * server_capacity_per_s
     }
 
-    /// Whether a server may be sent this request under its cold-start limit.
+    /// Whether the cold-start limit of a server allows sending it this request.
     ///
     /// A sidecar's share of the limit can be far below one request per warm-up, so that a whole token would
     /// never accumulate. A first attempt may therefore overdraw the bucket by one request, and a cold server
@@ -228,7 +230,7 @@
         let better_count = group.partition_point(|other| *other < candidate.projected_utilisation) as f64;
         let worse_count = group_size - 1.0 - better_count;
         context.utilisations_with_room = Some(utilisations);
-        // The probability that a random pair contains this candidate and a worse one.
+        // The probability that a random pair consists of this candidate and a worse one.
         let pick_probability =
             if group_size > 1.0 { 2.0 / group_size * worse_count / (group_size - 1.0) } else { 1.0 };
         let picks_per_s = pick_probability * self.state.arrivals.per_s_at(self.now, RATE_TIME_CONSTANT);
--- a/tests/unit/incremental.rs
+++ b/tests/unit/incremental.rs
@@ -14,6 +14,15 @@
 use crate::subset::{RATE_TIME_CONSTANT, ReachableUpstreams};
 
 const ZONE_COUNT: u64 = 4;
+/// Placements from this on determine the zone and cell of a server.
+const MIN_EXPLICIT_PLACEMENT: u8 = 240;
+
+// The values of src/subset.rs, repeated so that the recomputation does not depend on the code under test.
+const MIN_SUBSET_SIZE: f64 = 12.0;
+const MIN_SIDECARS_PER_SERVER: f64 = 10.0;
+const COLD_START_SAFETY_FACTOR: f64 = 0.5;
+const COLD_START_RANDOM_FRACTION: f64 = 0.6;
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
 fn settings(sidecar_count: u32, zone_crossing_cost: f64) -> Settings {
     let class =
@@ -53,11 +62,11 @@
     }
 }
 
-/// A generated record of the server list.
+/// A generated entry of the server list.
 #[derive(Debug, Clone)]
 struct RecordInput {
     id: u8,
-    /// Determines zone and cell; below 240 the id does instead.
+    /// Determines zone and cell; below [`MIN_EXPLICIT_PLACEMENT`] the id does instead.
     placement: u8,
     serving: bool,
     restarted: bool,
@@ -104,7 +113,7 @@
     ]
 }
 
-/// A balancer with the attempts that it has in flight.
+/// A balancer with the attempts that it has in flight. Its state is checked after each step.
 struct Harness {
     balancer: Balancer,
     now: Millis,
@@ -143,7 +152,7 @@
     fn records(&self, inputs: &[RecordInput]) -> Vec<UpstreamRecord> {
         let record = |&RecordInput { id, placement, serving, restarted }: &RecordInput| {
             // Most servers stay where they are; some move to another zone or cell.
-            let placement = if placement < 240 { id } else { placement };
+            let placement = if placement < MIN_EXPLICIT_PLACEMENT { id } else { placement };
             UpstreamRecord {
                 upstream: UpstreamId(u64::from(id)),
                 zone: ZoneId(u64::from(placement) % ZONE_COUNT),
@@ -262,17 +271,19 @@
         let balancer = &self.balancer;
         let server_list = &balancer.server_list;
         let serving = server_list.upstreams.values().filter(|upstream| upstream.serving).count() as f64;
-        let size_for_coverage = 10.0 * serving / f64::from(balancer.settings.sidecar_count);
+        let size_for_coverage =
+            MIN_SIDECARS_PER_SERVER * serving / f64::from(balancer.settings.sidecar_count);
         let arrivals_per_s = balancer.state.arrivals.per_s_at(balancer.now, RATE_TIME_CONSTANT);
-        let fraction = arrivals_per_s.max(size_for_coverage).max(12.0) / serving;
+        // One request per second and server.
+        let fraction = arrivals_per_s.max(size_for_coverage).max(MIN_SUBSET_SIZE) / serving;
         if fraction >= 1.0 || serving == 0.0 {
             return server_list.rings.values().flatten().map(|entry| entry.upstream).collect();
         }
         let mut members = BTreeSet::new();
         for (zone, ring) in &server_list.rings {
-            let golden_ratio_conjugate = 0.618_033_988_749_894_9;
-            let start = (3.0 * golden_ratio_conjugate
-                + zone.0 as f64 * golden_ratio_conjugate * golden_ratio_conjugate)
+            // The sidecar's index is 2, so that the factor is 3.
+            let start = (3.0 * GOLDEN_RATIO_CONJUGATE
+                + zone.0 as f64 * GOLDEN_RATIO_CONJUGATE * GOLDEN_RATIO_CONJUGATE)
                 .fract();
             let start = (start * ring.len() as f64) as usize;
             let mut remaining_size = fraction * ring.len() as f64;
@@ -358,8 +369,8 @@
             if peer_count > 0.0 { 2.0 / (peer_count + 1.0) * worse_count / peer_count } else { 1.0 };
         let arrivals_per_s = self.balancer.state.arrivals.per_s_at(self.balancer.now, RATE_TIME_CONSTANT);
         candidate.cold_start_tokens >= 0.0
-            && context.cold_start_draw * pick_probability * arrivals_per_s * 0.5
-                < 0.6 * candidate.cold_start_rate_per_s
+            && context.cold_start_draw * pick_probability * arrivals_per_s * COLD_START_SAFETY_FACTOR
+                < COLD_START_RANDOM_FRACTION * candidate.cold_start_rate_per_s
     }
 
     /// Checks the selection for a new request and, per class, a retry after a failure at the first server.
@@ -460,7 +471,7 @@
     harness.step(&Step::Probe(7, 10, 50));
 }
 
-/// Guards against a subset that keeps its size in ejected servers until the next periodic refresh.
+/// Guards against a subset that counts ejected servers towards its size until the next periodic refresh.
 #[test]
 fn ejection_refreshes_subset_immediately() {
     let mut harness = Harness::new(100, 0.0, 5);
@@ -477,21 +488,23 @@
 #[test]
 fn pairs_are_drawn_uniformly() {
     const DRAWS_PER_PAIR: u32 = 400;
+    /// Ordered pairs of the eight serving servers.
+    const PAIR_COUNT: u32 = 8 * 7;
     let mut harness = Harness::new(2, 0.0, 11);
     // Every third of the twelve servers is draining.
     let records: Vec<RecordInput> = (0..12).map(|id| RecordInput::new(id, 0, id % 3 > 0, false)).collect();
     harness.step(&Step::Snapshot(records));
     let pending = PendingRequest::new(ClassId(0), TenantId(0), harness.now, 500.0);
     let mut draws: BTreeMap<(u64, u64), u32> = BTreeMap::new();
-    for _ in 0..56 * DRAWS_PER_PAIR {
+    for _ in 0..PAIR_COUNT * DRAWS_PER_PAIR {
         let selection = harness.balancer.select(&pending, &mut Vec::new());
         let [a, b] = selection.pair.expect("eight servers are idle");
         *draws.entry((a.id.0, b.id.0)).or_default() += 1;
     }
-    assert_eq!(draws.len(), 8 * 7);
+    assert_eq!(draws.len(), PAIR_COUNT as usize);
     let deviation =
         |count: &u32| (f64::from(*count) - f64::from(DRAWS_PER_PAIR)).powi(2) / f64::from(DRAWS_PER_PAIR);
     let chi_squared: f64 = draws.values().map(deviation).sum();
-    // The 99.9th percentile of the distribution with 55 degrees of freedom.
+    // The 99.9th percentile of the chi-squared distribution with 55 degrees of freedom.
     assert!(chi_squared < 93.0, "{chi_squared}: {draws:?}");
 }
