--- a/benches/hollow/simulation.rs
+++ b/benches/hollow/simulation.rs
@@ -1383,7 +1383,7 @@
             allow_probes: false,
             allow_cancellation: true,
             max_retry_after: 400.0,
-            min_event_interval: 4.0,
+            max_send_delay: 4.0,
         },
         cold_start: scenario.cold_start.clone(),
         discovery: scenario.discovery,
--- a/benches/slopes/module.rs
+++ b/benches/slopes/module.rs
@@ -66,7 +66,7 @@
             allow_probes: true,
             allow_cancellation: true,
             max_retry_after: 400.0,
-            min_event_interval: 4.0,
+            max_send_delay: 4.0,
         },
         cold_start: ColdStartLimits {
             initial_capacity_fraction: 0.2,
--- a/src/api.rs
+++ b/src/api.rs
@@ -99,8 +99,8 @@
     pub allow_cancellation: bool,
     /// The longest retry delay that clients honour after a refusal; 0 if they honour none.
     pub max_retry_after: Millis,
-    /// The shortest time between two batches of events that are passed to the module.
-    pub min_event_interval: Millis,
+    /// The longest time from an [`Action::Send`] until the attempt is sent.
+    pub max_send_delay: Millis,
 }
 
 /// How the capacity of a newly started server grows, and how much load it withstands meanwhile.
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -201,10 +201,10 @@
     ) -> Driver {
         let unix_time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut module_settings = settings.to_settings();
-        // The module retries no keyed request in the last event interval of its deduplication window. Here a retry may
-        // have to connect first, so the interval must cover the connect timeout.
-        module_settings.limits.min_event_interval =
-            module_settings.limits.min_event_interval.max(settings.connect_timeout_ms());
+        // The module retries no keyed request whose deduplication window could end before the retry is sent. Here a
+        // retry may have to connect first, so the delay must cover the connect timeout.
+        module_settings.limits.max_send_delay =
+            module_settings.limits.max_send_delay.max(settings.connect_timeout_ms());
         Driver {
             subscribe_mode: matches!(module_settings.discovery, DiscoveryMode::Subscribe { .. }),
             module: Balancer::new(module_settings, seed),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -36,6 +36,7 @@
     costs: HashMap<String, f64>,
     allowed: Allowed,
     invariants: Invariants,
+    /// The shortest time between two batches of events; used as the longest delay until an attempt is sent.
     #[serde(default, rename = "period")]
     min_event_interval: Millis,
     #[serde(rename = "membership_mode")]
@@ -183,7 +184,7 @@
                 } else {
                     0.0
                 },
-                min_event_interval: self.min_event_interval,
+                max_send_delay: self.min_event_interval,
             },
             cold_start: ColdStartLimits {
                 initial_capacity_fraction: self.invariants.initial_capacity_fraction,
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -71,10 +71,10 @@
                 local_count: self.subset.local_count,
             };
         };
-        let (own_zone, margin) = (self.settings.zone, self.settings.limits.min_event_interval);
+        let (own_zone, margin) = (self.settings.zone, self.settings.limits.max_send_delay);
         let scope = match self.settings.classes[pending.class.0].idempotency {
             Idempotency::Idempotent => DedupScope::All,
-            // The margin of one event interval covers the delay until the attempt is sent.
+            // The margin covers the delay until the attempt is sent.
             Idempotency::Keyed { scope, window } if self.now + margin < first.sent_at + window => scope,
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
                 return ReachableUpstreams { ids: Vec::new(), local_count: 0 };
--- a/tests/fleet_simulation/mod.rs
+++ b/tests/fleet_simulation/mod.rs
@@ -118,7 +118,7 @@
                 allow_probes: true,
                 allow_cancellation: true,
                 max_retry_after: 2_000.0,
-                min_event_interval: 5.0,
+                max_send_delay: 5.0,
             },
             cold_start: self.cold_start.clone(),
             discovery: DiscoveryMode::Push,
--- a/tests/unit/incremental.rs
+++ b/tests/unit/incremental.rs
@@ -50,7 +50,7 @@
             allow_probes: true,
             allow_cancellation: true,
             max_retry_after: 100.0,
-            min_event_interval: 1.0,
+            max_send_delay: 1.0,
         },
         cold_start: ColdStartLimits {
             initial_capacity_fraction: 0.3,
@@ -338,7 +338,7 @@
                     DedupScope::Zone => upstream.zone == first.zone,
                     DedupScope::Cell => upstream.cell == first.cell,
                 };
-                let margin = balancer.settings.limits.min_event_interval;
+                let margin = balancer.settings.limits.max_send_delay;
                 in_scope && balancer.now + margin < first.sent_at + window
             }
         }
