--- a/src/api.rs
+++ b/src/api.rs
@@ -278,7 +278,7 @@
     },
     /// An attempt ended; sent exactly once for each [`Action::Send`].
     AttemptFinished(AttemptFinished),
-    /// The client disconnected; no response is needed any more.
+    /// The client disconnected, or the sidecar ended the request at its deadline; no response is needed any more.
     RequestAbandoned(RequestId),
     /// A probe ended.
     ProbeFinished {
--- a/src/server_list.rs
+++ b/src/server_list.rs
@@ -148,8 +148,8 @@
         self.version += u64::from(upstream.health != previous_health);
     }
 
-    /// Applies records from discovery. Servers missing from a complete list no longer serve. A server that no
-    /// longer serves is removed once it has no outstanding attempts.
+    /// Applies records from discovery. If they are the `complete` list, servers missing from it no longer serve.
+    /// A server that no longer serves is removed once it has no outstanding attempts.
     pub fn apply(&mut self, records: &[UpstreamRecord], complete: bool, now: Millis, rng: &mut Rand64) {
         if complete {
             self.upstreams.values_mut().for_each(|upstream| upstream.serving = false);
@@ -193,7 +193,8 @@
         self.version += 1;
     }
 
-    /// Adds a serving server to its ring and the totals, or removes it from them.
+    /// Adds a serving server to its ring and the totals, or removes it from them. A server that no longer serves
+    /// is marked for removal instead.
     fn set_ring_membership(&mut self, id: UpstreamId, now: Millis, member: bool) {
         let Some(upstream) = self.upstreams.get(&id) else { return };
         if !upstream.serving {
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -12,8 +12,8 @@
 /// The subset is sized so that each of its servers receives one request per this interval: load reports then
 /// arrive about as often as they go stale.
 const REQUEST_INTERVAL_PER_SERVER: Millis = 1_000.0;
-/// The subset is recomputed after this time, or at once when the server list or the health of a
-/// server changes.
+/// The subset is recomputed after this time, or at once when the server list or the health of a server
+/// changes.
 const SUBSET_REFRESH_INTERVAL: Millis = 100.0;
 /// Time constant of the arrival and success rates. It is long, so that a burst does not enlarge the subset
 /// and with it the number of connections.
