--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{BalancerHarness, listing, sent_to, settings};
+use common::{BalancerHarness, sent_to, settings, upstream_record};
 use loopback::*;
 use sagemast::api::{Action, AttemptFinished, AttemptNo, ClassId, DiscoveryUpdate, Event, Limits, Outcome};
 
@@ -36,7 +36,7 @@
 ) {
     let mut settings = settings();
     settings.limits = limits.clone();
-    let mut harness = BalancerHarness::new(settings, [1, 2, 3, 4].map(listing).to_vec());
+    let mut harness = BalancerHarness::new(settings, [1, 2, 3, 4].map(upstream_record).to_vec());
     let (request, mut actions) = harness.arrive(class);
     for attempt in 0..finished_attempts {
         let Some(upstream) = sent_to(&actions) else { return };
@@ -65,11 +65,9 @@
         later_actions.extend(harness.handle_event(Event::TimerFired(token)));
         later_actions.extend(harness.probe_answered(1, 0.0, 0.1));
     }
-    later_actions.extend(
-        harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(
-            [5, 6, 7].map(listing).to_vec(),
-        ))),
-    );
+    later_actions.extend(harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(
+        [5, 6, 7].map(upstream_record).to_vec(),
+    ))));
     let cancel = Action::Cancel { request, attempt: AttemptNo(finished_attempts) };
     let expected: Vec<Action> =
         in_flight.filter(|_| limits.allow_cancellation).map(|_| cancel).into_iter().collect();
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -5,7 +5,7 @@
 mod common;
 mod fleet_simulation;
 
-use common::{BalancerHarness, KEYED_PER_CELL, listing, sent_to, settings};
+use common::{BalancerHarness, KEYED_PER_CELL, sent_to, settings, upstream_record};
 use fleet_simulation::*;
 use sagemast::api::*;
 
@@ -14,9 +14,9 @@
     let result = simulate(scenario);
     let used = result.budget_use(scenario);
     println!(
-        "{name:20} {:3} modules, {:2} of {} cold: max {:.2}, max of limit {:.2}, mean {:.2}, first window {:.2} of \
-         the budget; sends per second {:?}, {} further attempts; refused {:.2}%, in time {:.1}%",
-        scenario.modules,
+        "{name:20} {:3} sidecars, {:2} of {} cold: max {:.2}, max of limit {:.2}, mean {:.2}, first window {:.2} of \
+         the budget; sends per second {:?}, {} further attempts; refused or failed {:.2}%, in time {:.1}%",
+        scenario.sidecars,
         scenario.cold_servers,
         scenario.servers,
         used.max_share,
@@ -25,26 +25,26 @@
         used.first_window_share,
         result.sends_by_second(),
         result.further_attempts,
-        100.0 * result.refused_share(),
+        100.0 * result.refused_or_failed_share(),
         100.0 * result.answered_in_time as f64 / result.arrived as f64,
     );
-    assert!(used.max_share_of_limit < 1.0, "{name}, {} modules: {used:?}", scenario.modules);
+    assert!(used.max_share_of_limit < 1.0, "{name}, {} sidecars: {used:?}", scenario.sidecars);
     used
 }
 
 /// Checks that the share of the budget that is used, in the first window and over the warm-up, depends little on
-/// the number of modules. A few modules get fresher reports and therefore use somewhat more.
+/// the number of sidecars. A few sidecars get fresher reports and therefore use somewhat more.
 fn assert_similar_budget_use(name: &str, scenario_with: impl Fn(usize) -> Scenario) {
-    let [with_4, with_30] = [4, 30].map(|modules| assert_within_budget(name, &scenario_with(modules)));
-    for modules in [20, 100, 300] {
-        let used = assert_within_budget(name, &scenario_with(modules));
+    let [with_4, with_30] = [4, 30].map(|sidecars| assert_within_budget(name, &scenario_with(sidecars)));
+    for sidecars in [20, 100, 300] {
+        let used = assert_within_budget(name, &scenario_with(sidecars));
         for (share, share_with_30, share_with_4) in [
             (used.first_window_share, with_30.first_window_share, with_4.first_window_share),
             (used.mean_share, with_30.mean_share, with_4.mean_share),
         ] {
             assert!(
                 share > 0.8 * share_with_30 && share > 0.6 * share_with_4,
-                "{name}, share of the budget: {share:.2} with {modules} modules, {share_with_30:.2} with 30, \
+                "{name}, share of the budget: {share:.2} with {sidecars} sidecars, {share_with_30:.2} with 30, \
                  {share_with_4:.2} with 4"
             );
         }
@@ -53,14 +53,14 @@
 
 #[test]
 fn share_of_budget_used_is_similar_for_any_number_of_sidecars() {
-    assert_similar_budget_use("index known", |modules| Scenario::new(modules, 60, 18, 1));
+    assert_similar_budget_use("index known", |sidecars| Scenario::new(sidecars, 60, 18, 1));
 }
 
 #[test]
 fn share_of_budget_used_is_similar_without_sidecar_index() {
-    assert_similar_budget_use("index unknown", |modules| Scenario {
-        rank_known: false,
-        ..Scenario::new(modules, 60, 18, 2)
+    assert_similar_budget_use("index unknown", |sidecars| Scenario {
+        sidecar_index_known: false,
+        ..Scenario::new(sidecars, 60, 18, 2)
     });
 }
 
@@ -79,9 +79,9 @@
             &Scenario { restart_span: Some(2_000.0), ..Scenario::new(1, 12, 4, seed) },
         );
     }
-    for modules in [1, 4, 20, 30, 100, 300] {
-        assert_within_budget("one cold server", &Scenario::new(modules, 20, 1, 6));
-        assert_within_budget("one server", &Scenario { load: 1.5, ..Scenario::new(modules, 1, 1, 7) });
+    for sidecars in [1, 4, 20, 30, 100, 300] {
+        assert_within_budget("one cold server", &Scenario::new(sidecars, 20, 1, 6));
+        assert_within_budget("one server", &Scenario { load: 1.5, ..Scenario::new(sidecars, 1, 1, 7) });
     }
 }
 
@@ -89,10 +89,13 @@
 /// capacity.
 #[test]
 fn overloaded_single_server_stays_within_budget_after_restart() {
-    for modules in [30, 100, 300] {
+    for sidecars in [30, 100, 300] {
         for seed in 1..=4 {
-            let scenario =
-                Scenario { load: 5.0, end: REPLACEMENT_TIME + 6_000.0, ..Scenario::new(modules, 1, 1, seed) };
+            let scenario = Scenario {
+                load: 5.0,
+                end: REPLACEMENT_TIME + 6_000.0,
+                ..Scenario::new(sidecars, 1, 1, seed)
+            };
             assert_within_budget("overloaded server", &scenario);
         }
     }
@@ -101,14 +104,15 @@
 /// Warm servers cannot take the load: there are none or too few, or they fail.
 #[test]
 fn cold_servers_stay_within_budget_under_overload() {
-    for modules in [4, 30, 300] {
-        assert_within_budget("overload", &Scenario { load: 1.3, ..Scenario::new(modules, 60, 18, 8) });
-        assert_within_budget("all cold", &Scenario { load: 0.9, ..Scenario::new(modules, 30, 30, 9) });
-        let unequal = Scenario { speed_ratio: 1.4, rank_known: false, ..Scenario::new(modules, 30, 30, 10) };
+    for sidecars in [4, 30, 300] {
+        assert_within_budget("overload", &Scenario { load: 1.3, ..Scenario::new(sidecars, 60, 18, 8) });
+        assert_within_budget("all cold", &Scenario { load: 0.9, ..Scenario::new(sidecars, 30, 30, 9) });
+        let unequal =
+            Scenario { speed_ratio: 1.4, sidecar_index_known: false, ..Scenario::new(sidecars, 30, 30, 10) };
         assert_within_budget("all cold, unequal", &Scenario { load: 1.3, ..unequal });
         assert_within_budget(
             "warm servers failing",
-            &Scenario { error_share: 0.9, ..Scenario::new(modules, 30, 3, 11) },
+            &Scenario { error_share: 0.9, ..Scenario::new(sidecars, 30, 3, 11) },
         );
     }
 }
@@ -116,8 +120,11 @@
 /// All servers start cold, and one third has about half the speed of another third.
 #[test]
 fn slow_servers_stay_within_their_budget() {
-    for (load, rank_known, seed) in [(0.9, true, 12), (0.9, false, 11), (2.0, true, 10), (2.0, false, 12)] {
-        let scenario = Scenario { load, rank_known, speed_ratio: 1.4, ..Scenario::new(300, 30, 30, seed) };
+    for (load, sidecar_index_known, seed) in
+        [(0.9, true, 12), (0.9, false, 11), (2.0, true, 10), (2.0, false, 12)]
+    {
+        let scenario =
+            Scenario { load, sidecar_index_known, speed_ratio: 1.4, ..Scenario::new(300, 30, 30, seed) };
         assert_within_budget("slow servers", &Scenario { end: REPLACEMENT_TIME + 5_000.0, ..scenario });
     }
 }
@@ -125,15 +132,15 @@
 /// A restarted sidecar does not know what it sent before the restart.
 #[test]
 fn sidecar_restarts_during_warm_up_stay_within_budget() {
-    for modules in [4, 30, 300] {
-        for (rank_known, load, restart_span) in
+    for sidecars in [4, 30, 300] {
+        for (sidecar_index_known, load, restart_span) in
             [(true, 0.65, 3_000.0), (false, 1.3, 2_000.0), (false, 1.3, 1.0)]
         {
             let scenario = Scenario {
-                rank_known,
+                sidecar_index_known,
                 load,
                 restart_span: Some(restart_span),
-                ..Scenario::new(modules, 30, 10, 12)
+                ..Scenario::new(sidecars, 30, 10, 12)
             };
             assert_within_budget("restarts", &scenario);
             assert_within_budget("restarts, all cold", &Scenario { cold_servers: 30, ..scenario });
@@ -145,9 +152,10 @@
 /// resent within the cell.
 #[test]
 fn further_attempts_within_a_cell_stay_within_budget() {
-    for modules in [4, 30, 300] {
-        for (rank_known, restart_span) in [(true, None), (false, None), (false, Some(3_000.0))] {
-            let scenario = Scenario { rank_known, restart_span, ..Scenario::new(modules, 36, 27, 13) };
+    for sidecars in [4, 30, 300] {
+        for (sidecar_index_known, restart_span) in [(true, None), (false, None), (false, Some(3_000.0))] {
+            let scenario =
+                Scenario { sidecar_index_known, restart_span, ..Scenario::new(sidecars, 36, 27, 13) };
             assert_within_budget(
                 "cells",
                 &Scenario { keyed_only: true, error_share: 0.5, cell_size: 4, load: 0.5, ..scenario },
@@ -171,10 +179,10 @@
         * ARRIVALS_PER_S
         / 20.0;
     // Two servers share a cell, one of them cold; the other 18 servers have a cell each.
-    let cold = UpstreamRecord { started_at: Some(1_000.0), ..listing(2) };
-    let other_servers = (1..=18).map(|cell| listing(10 * cell));
+    let cold = UpstreamRecord { started_at: Some(1_000.0), ..upstream_record(2) };
+    let other_servers = (1..=18).map(|cell| upstream_record(10 * cell));
     let mut harness =
-        BalancerHarness::new(settings, [listing(1), cold].into_iter().chain(other_servers).collect());
+        BalancerHarness::new(settings, [upstream_record(1), cold].into_iter().chain(other_servers).collect());
     let (mut unanswered, mut sent_to_cold) = (0, 0);
     for _ in 0..(DURATION_S * ARRIVALS_PER_S) as usize {
         harness.now += 1_000.0 / ARRIVALS_PER_S;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,27 +1,27 @@
-//! Drives a single [`Balancer`] without a network or a clock: settings, listings and events.
+//! Drives a single [`Balancer`] without a network or a clock: settings, server records and events.
 #![allow(dead_code)]
 
 use sagemast::Balancer;
 use sagemast::api::*;
 
-// Indices into the classes of `settings`.
-pub const REPEATABLE: ClassId = ClassId(0);
+// Classes of [`settings`].
+pub const IDEMPOTENT: ClassId = ClassId(0);
 pub const KEYED_PER_CELL: ClassId = ClassId(1);
-pub const ONCE: ClassId = ClassId(2);
+pub const NON_IDEMPOTENT: ClassId = ClassId(2);
 pub const KEYED_PER_ZONE: ClassId = ClassId(3);
 pub const KEYED_FLEET_WIDE: ClassId = ClassId(4);
 
-/// A class with an aim of 200 ms.
-pub fn class(effect: Idempotency) -> Class {
-    Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency: effect }
+/// A class with a latency target of 200 ms.
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { latency_target: 200.0, value: 1.0, late_value_fraction: 0.0, idempotency }
 }
 
-/// A class deduplicated by key within a scope and a window of 300 ms.
+/// A keyed class with this deduplication scope and a window of 300 ms.
 pub fn keyed_class(scope: DedupScope) -> Class {
     class(Idempotency::Keyed { scope, window: 300.0 })
 }
 
-/// One class of each effect and scope, and no tenants.
+/// Settings with one class of each idempotency and deduplication scope, and without tenants.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -57,8 +57,8 @@
     }
 }
 
-/// A server of zone 0; ten consecutive ids share a cell.
-pub fn listing(id: u64) -> UpstreamRecord {
+/// A warm, serving server of zone 0. Ten consecutive ids, from a multiple of ten on, share a cell.
+pub fn upstream_record(id: u64) -> UpstreamRecord {
     UpstreamRecord {
         upstream: UpstreamId(id),
         zone: ZoneId(0),
@@ -79,10 +79,12 @@
 }
 
 impl BalancerHarness {
+    /// A balancer that has restored this server list, at a time of 1 s.
     pub fn new(settings: Settings, servers: Vec<UpstreamRecord>) -> BalancerHarness {
         BalancerHarness::with_seed(settings, servers, 7)
     }
 
+    /// Like [`BalancerHarness::new`], with a seed for the random numbers of the balancer.
     pub fn with_seed(settings: Settings, servers: Vec<UpstreamRecord>, seed: u64) -> BalancerHarness {
         let mut harness =
             BalancerHarness { balancer: Balancer::new(settings, seed), now: 1_000.0, last_request_id: 0 };
@@ -105,7 +107,7 @@
         actions
     }
 
-    /// A request arrives with 500 ms left. Returns its id and the resulting actions.
+    /// A request of a class arrives with 500 ms left. Returns its id and the resulting actions.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.last_request_id += 1;
         let request = RequestId(self.last_request_id);
@@ -134,12 +136,12 @@
         }))
     }
 
-    /// A load report arrives in answer to a probe.
+    /// A probe of a server is answered with this load report; the resulting actions are ignored.
     pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
         self.probe_answered(id, in_flight, utilisation);
     }
 
-    /// Like [`BalancerHarness::report`]; returns the resulting actions.
+    /// Like [`BalancerHarness::report`], but returns the resulting actions.
     pub fn probe_answered(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report = LoadReport {
             in_flight: Some(in_flight),
@@ -154,7 +156,7 @@
     }
 }
 
-/// The upstream of the first send among these actions.
+/// The upstream of the first attempt that these actions send.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -162,10 +164,12 @@
     })
 }
 
+/// Whether these actions end a request with a refusal, after which a retry is safe.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
 
+/// Whether these actions end a request with a failure, after which a retry may be unsafe.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
--- a/tests/discovery_retries.rs
+++ b/tests/discovery_retries.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{BalancerHarness, listing};
+use common::{BalancerHarness, upstream_record};
 use loopback::{
     SETTINGS_JSON, Sidecar, Upstream, WAIT_TIMEOUT, config_json, host_entry, host_list, read_message,
     ready_hosts, wait_until,
@@ -26,9 +26,9 @@
 fn subscribed_balancer(subscribe_within: Millis, seed: u64) -> BalancerHarness {
     let settings =
         Settings { discovery: DiscoveryMode::Subscribe { subscribe_within }, ..common::settings() };
-    let mut harness = BalancerHarness::with_seed(settings, vec![listing(1)], seed);
+    let mut harness = BalancerHarness::with_seed(settings, vec![upstream_record(1)], seed);
     harness.handle_event(Event::TimerFired(0));
-    harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![listing(1)])));
+    harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![upstream_record(1)])));
     harness
 }
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -9,7 +9,7 @@
 /// Three servers in each cell: cells 0 and 1 are in zone 0, cell 2 is in zone 1.
 fn three_cells() -> Vec<UpstreamRecord> {
     [1, 2, 3, 11, 12, 13, 21, 22, 23]
-        .map(|id| UpstreamRecord { zone: ZoneId(id / 20), ..listing(id) })
+        .map(|id| UpstreamRecord { zone: ZoneId(id / 20), ..upstream_record(id) })
         .to_vec()
 }
 
@@ -24,8 +24,8 @@
 
 #[test]
 fn single_server_receives_requests() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1)]);
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1)]);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)));
 }
 
@@ -39,7 +39,7 @@
 #[test]
 fn abandoned_request_gets_no_attempt_and_no_response() {
     let mut harness = BalancerHarness::new(settings(), three_cells());
-    let (request, actions) = harness.arrive(REPEATABLE);
+    let (request, actions) = harness.arrive(IDEMPOTENT);
     let upstream = sent_to(&actions).unwrap();
     let actions = harness.handle_event(Event::RequestAbandoned(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
@@ -51,7 +51,7 @@
 #[test]
 fn non_idempotent_request_fails_after_timeout_at_deadline() {
     let mut harness = BalancerHarness::new(settings(), three_cells());
-    let (request, actions) = harness.arrive(ONCE);
+    let (request, actions) = harness.arrive(NON_IDEMPOTENT);
     let upstream = sent_to(&actions).unwrap();
     harness.now += 500.0;
     let actions = harness.finish(request, 0, upstream, Outcome::TimedOut, 500.0);
@@ -62,7 +62,7 @@
 fn non_idempotent_request_is_resent_only_if_it_did_not_run() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut harness = BalancerHarness::new(settings(), three_cells());
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         let upstream = sent_to(&actions).unwrap();
         harness.now += 10.0;
         let actions = harness.finish(request, 0, upstream, outcome, 10.0);
@@ -71,7 +71,7 @@
     }
     for outcome in [Outcome::Rejected, Outcome::Unreachable] {
         let mut harness = BalancerHarness::new(settings(), three_cells());
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         let upstream = sent_to(&actions).unwrap();
         harness.now += 10.0;
         let actions = harness.finish(request, 0, upstream, outcome, 10.0);
@@ -85,7 +85,7 @@
         for (class, ids_per_scope) in [(KEYED_PER_CELL, 10), (KEYED_PER_ZONE, 20)] {
             let mut harness = BalancerHarness::new(settings(), three_cells());
             // Preceding arrivals advance the random number generator.
-            (0..preceding_arrivals).for_each(|_| drop(harness.arrive(REPEATABLE)));
+            (0..preceding_arrivals).for_each(|_| drop(harness.arrive(IDEMPOTENT)));
             let (request, actions) = harness.arrive(class);
             let Some(first) = sent_to(&actions) else { continue };
             harness.now += 20.0;
@@ -136,7 +136,7 @@
     let mut settings = settings();
     settings.limits.max_attempts = 2;
     let mut harness = BalancerHarness::new(settings, three_cells());
-    let (request, actions) = harness.arrive(REPEATABLE);
+    let (request, actions) = harness.arrive(IDEMPOTENT);
     let first = sent_to(&actions).unwrap();
     let actions = harness.finish(request, 0, first, Outcome::Rejected, 1.0);
     let second = sent_to(&actions).expect("a second attempt");
@@ -147,19 +147,20 @@
 
 #[test]
 fn draining_and_unlisted_servers_get_no_requests() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2), listing(3)]);
-    let draining = UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(1) };
+    let mut harness =
+        BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2), upstream_record(3)]);
+    let draining = UpstreamRecord { lifecycle: Lifecycle::Draining, ..upstream_record(1) };
     harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![draining])));
     for _ in 0..30 {
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).unwrap();
         assert_ne!(upstream, UpstreamId(1));
         harness.now += 5.0;
         harness.finish(request, 0, upstream, Outcome::Ok, 5.0);
     }
-    harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![listing(3)])));
+    harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Snapshot(vec![upstream_record(3)])));
     for _ in 0..30 {
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "server 2 is not in the snapshot");
         harness.now += 5.0;
         harness.finish(request, 0, UpstreamId(3), Outcome::Ok, 5.0);
@@ -168,9 +169,9 @@
 
 #[test]
 fn server_list_stays_in_use_while_discovery_is_unavailable() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1)]);
     harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
-    assert_eq!(sent_to(&harness.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    assert_eq!(sent_to(&harness.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 #[test]
@@ -180,7 +181,7 @@
     let mut harness = BalancerHarness::new(settings, vec![]);
     let mut waits = Vec::new();
     let mut actions =
-        harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(vec![listing(1)])));
+        harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(vec![upstream_record(1)])));
     for _ in 0..12 {
         // `BalancerHarness::new` already set the timer of the first call; only one call is pending at a time.
         assert!(actions.iter().all(|action| !matches!(action, Action::SetTimer { .. })));
@@ -211,7 +212,10 @@
         settings.limits.allow_probes = false;
         let start = 1_000.0;
         let servers: Vec<UpstreamRecord> = (1..=SERVERS)
-            .map(|id| UpstreamRecord { started_at: (id >= first_cold).then_some(start), ..listing(id) })
+            .map(|id| UpstreamRecord {
+                started_at: (id >= first_cold).then_some(start),
+                ..upstream_record(id)
+            })
             .collect();
         let (overload_duration, overload_multiple) =
             (settings.cold_start.overload_duration, settings.cold_start.overload_multiple);
@@ -224,7 +228,7 @@
             let interval = f64::from(sidecars) / arrivals_per_ms;
             harness.now = start + interval * f64::from(sidecar) / f64::from(sidecars);
             while harness.now < start + duration {
-                let (request, actions) = harness.arrive(ONCE);
+                let (request, actions) = harness.arrive(NON_IDEMPOTENT);
                 if let Some(upstream) = sent_to(&actions) {
                     sends.push((upstream, harness.now));
                     harness.finish(request, 0, upstream, Outcome::Ok, SERVICE_TIME);
@@ -259,13 +263,13 @@
 
 #[test]
 fn restarted_server_with_same_id_is_cold() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1)]);
     let count_accepted = |harness: &mut BalancerHarness| {
         let mut accepted = 0;
         for _ in 0..50 {
             // The send allowance of a cold server accrues over time.
             harness.now += 20.0;
-            let (request, actions) = harness.arrive(REPEATABLE);
+            let (request, actions) = harness.arrive(IDEMPOTENT);
             accepted += u32::from(sent_to(&actions).is_some());
             harness.handle_event(Event::RequestAbandoned(request));
             harness.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
@@ -273,7 +277,7 @@
         accepted
     };
     assert_eq!(count_accepted(&mut harness), 50, "the server is warm");
-    let restarted = UpstreamRecord { started_at: Some(harness.now), ..listing(1) };
+    let restarted = UpstreamRecord { started_at: Some(harness.now), ..upstream_record(1) };
     harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(vec![restarted])));
     let accepted = count_accepted(&mut harness);
     assert!((1..25).contains(&accepted), "{accepted} of 50 requests accepted while the server is cold");
--- a/tests/many_sidecars.rs
+++ b/tests/many_sidecars.rs
@@ -13,7 +13,11 @@
 fn servers(count: u64) -> Vec<UpstreamRecord> {
     let ring_position = |id: u64| id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (1..=count)
-        .map(|id| UpstreamRecord { zone: ZoneId(id % 3), ring_position: ring_position(id), ..listing(id) })
+        .map(|id| UpstreamRecord {
+            zone: ZoneId(id % 3),
+            ring_position: ring_position(id),
+            ..upstream_record(id)
+        })
         .collect()
 }
 
@@ -32,7 +36,7 @@
     let mut sends = BTreeMap::new();
     for _ in 0..requests {
         harness.now += interval;
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         let Some(upstream) = sent_to(&actions) else { continue };
         *sends.entry(upstream.0).or_default() += 1;
         let outcome = if failing.contains(&upstream.0) { Outcome::Error } else { Outcome::Ok };
@@ -84,7 +88,7 @@
         count_healthy(&sends_after_failures) >= 12,
         "subset before the failures: {initial_subset:?}, sends after: {sends_after_failures:?}"
     );
-    let draining = |id: &u64| UpstreamRecord { lifecycle: Lifecycle::Draining, ..listing(*id) };
+    let draining = |id: &u64| UpstreamRecord { lifecycle: Lifecycle::Draining, ..upstream_record(*id) };
     harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Delta(
         initial_subset.iter().map(draining).collect(),
     )));
@@ -113,7 +117,7 @@
         let mut probes = 0;
         for _ in 0..500 {
             harness.now += 70.0;
-            let (request, actions) = harness.arrive(ONCE);
+            let (request, actions) = harness.arrive(NON_IDEMPOTENT);
             probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
             let Some(upstream) = sent_to(&actions) else { continue };
             harness.finish(request, 0, upstream, Outcome::Ok, 20.0);
@@ -139,7 +143,7 @@
     let (mut sent_to_cold, mut sends) = (0, 0);
     for _ in 0..600 {
         harness.now += 10.0;
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         let upstream = sent_to(&actions).expect("four servers are idle and warm");
         sends += 1;
         sent_to_cold += usize::from(upstream.0 > 4);
@@ -152,16 +156,16 @@
 /// limit must recover over time, not only with each response.
 #[test]
 fn admission_limit_recovers_over_time_with_few_responses() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 6.0, 0.75);
     // Twice as many requests as the servers process concurrently: responses are still well within the latency
     // target.
     let report_queues = |harness: &mut BalancerHarness| harness.report_steady_load(&[1, 2], 15.0, 1.0);
     report_queues(&mut harness);
-    let (_, actions) = harness.arrive(ONCE);
+    let (_, actions) = harness.arrive(NON_IDEMPOTENT);
     assert!(sent_to(&actions).is_some(), "the usual admission limit allows such a queue");
     for _ in 0..20 {
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         let (mut next, mut attempt) = (sent_to(&actions), 0);
         while let Some(upstream) = next {
             next = sent_to(&harness.finish(request, attempt, upstream, Outcome::Rejected, 1.0));
@@ -169,15 +173,18 @@
         }
     }
     report_queues(&mut harness);
-    assert!(refused(&harness.arrive(ONCE).1), "rejections must lower the admission limit");
+    assert!(refused(&harness.arrive(NON_IDEMPOTENT).1), "rejections must lower the admission limit");
     for _ in 0..80 {
         [1, 2].into_iter().for_each(|id| harness.report(id, 2.0, 0.25));
-        let (request, actions) = harness.arrive(ONCE);
+        let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         harness.now += 100.0;
         if let Some(upstream) = sent_to(&actions) {
             harness.finish(request, 0, upstream, Outcome::Ok, 30.0);
         }
     }
     report_queues(&mut harness);
-    assert!(sent_to(&harness.arrive(ONCE).1).is_some(), "the admission limit must recover within 8 s");
+    assert!(
+        sent_to(&harness.arrive(NON_IDEMPOTENT).1).is_some(),
+        "the admission limit must recover within 8 s"
+    );
 }
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -115,7 +115,7 @@
         let lifecycle = if self.random_below(4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         let started_at = (self.random_below(6) == 0).then_some(self.now);
         let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.random_below(6)];
-        UpstreamRecord { zone: ZoneId(id / 20), lifecycle, started_at, weight, ..listing(id) }
+        UpstreamRecord { zone: ZoneId(id / 20), lifecycle, started_at, weight, ..upstream_record(id) }
     }
 
     fn random_report(&mut self) -> Option<LoadReport> {
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -12,7 +12,7 @@
 /// holds the id and the capacity of each server. Returns the number of sends by server.
 fn count_sends(capacities: &[(u64, f64)], rounds: usize, latency: Millis) -> BTreeMap<u64, usize> {
     let mut harness =
-        BalancerHarness::new(settings(), capacities.iter().map(|(id, _)| listing(*id)).collect());
+        BalancerHarness::new(settings(), capacities.iter().map(|(id, _)| upstream_record(*id)).collect());
     let mut outstanding: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
     let mut in_flight_by_server: BTreeMap<u64, usize> = BTreeMap::new();
     let mut sends: BTreeMap<u64, usize> = BTreeMap::new();
@@ -25,7 +25,7 @@
             *in_flight_by_server.entry(upstream.0).or_default() -= 1;
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
         }
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         if let Some(upstream) = sent_to(&actions) {
             *in_flight_by_server.entry(upstream.0).or_default() += 1;
             *sends.entry(upstream.0).or_default() += 1;
@@ -63,13 +63,13 @@
 /// by utilisation exceeds its capacity.
 #[test]
 fn report_of_saturated_server_does_not_raise_estimated_capacity() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 6.0, 0.75);
     for _ in 0..10 {
         // The estimated capacity is 8 for both; computed as 24 / 1.0, it would be 24 for the first.
         harness.report(1, 24.0, 1.0);
         harness.report(2, 8.0, 1.0);
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
         harness.handle_event(Event::RequestAbandoned(request));
         harness.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
@@ -77,7 +77,7 @@
     for _ in 0..10 {
         harness.report(1, 24.0, 1.0);
         harness.report(2, 9.0, 1.0);
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)), "9 requests are fewer than 24 at equal capacity");
         harness.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
@@ -87,14 +87,14 @@
 #[test]
 fn report_below_own_in_flight_count_is_not_used() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].latency_target = 450.0;
-    let mut harness = BalancerHarness::new(settings, vec![listing(1), listing(2)]);
+    settings.classes[IDEMPOTENT.0].latency_target = 450.0;
+    let mut harness = BalancerHarness::new(settings, vec![upstream_record(1), upstream_record(2)]);
     harness.report(1, 2.0, 1.0);
     harness.report(2, 2.0, 1.0);
     let mut sends = BTreeMap::new();
     for _ in 0..8 {
         harness.now += 1.0;
-        let (_, actions) = harness.arrive(REPEATABLE);
+        let (_, actions) = harness.arrive(IDEMPOTENT);
         *sends.entry(sent_to(&actions).unwrap().0).or_insert(0) += 1;
         harness.now += 1.0;
         // Both servers keep reporting that they are idle.
@@ -107,7 +107,7 @@
 /// Guards against a capacity estimate that ignores speed: servers of equal concurrency may differ in service time.
 #[test]
 fn slower_servers_get_fewer_requests() {
-    let mut harness = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
+    let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     let mut sends = BTreeMap::new();
     let mut outstanding: Vec<(Millis, RequestId, UpstreamId, Millis)> = Vec::new();
     for _ in 0..3_000 {
@@ -118,7 +118,7 @@
         {
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
         }
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let Some(upstream) = sent_to(&actions) else { continue };
         *sends.entry(upstream.0).or_insert(0.0) += 1.0;
         let latency = if upstream.0 <= 2 { 60.0 } else { 30.0 };
@@ -132,7 +132,7 @@
     let run = |seed: u64| {
         let mut balancer = Balancer::new(settings(), seed);
         let mut actions = Vec::new();
-        let servers = (1..=6).map(listing).collect();
+        let servers = (1..=6).map(upstream_record).collect();
         balancer.handle(0.0, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(servers)), &mut actions);
         for id in 0..300 {
             let event = Event::RequestArrived {
@@ -154,12 +154,12 @@
 fn other_zones_get_requests_only_when_own_zone_is_at_its_limit() {
     let mut settings = settings();
     settings.zone_crossing_cost = 0.1;
-    let servers = (1..=6).map(|id| UpstreamRecord { zone: ZoneId(id % 2), ..listing(id) }).collect();
+    let servers = (1..=6).map(|id| UpstreamRecord { zone: ZoneId(id % 2), ..upstream_record(id) }).collect();
     let mut harness = BalancerHarness::new(settings, servers);
     harness.report_steady_load(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
     let mut sent_to_other_zone = 0;
     for round in 0..60 {
-        let (_, actions) = harness.arrive(REPEATABLE);
+        let (_, actions) = harness.arrive(IDEMPOTENT);
         sent_to_other_zone += usize::from(sent_to(&actions).is_some_and(|upstream| upstream.0 % 2 == 1));
         if round == 5 {
             assert_eq!(sent_to_other_zone, 0, "servers in the own zone have capacity left");
@@ -172,7 +172,7 @@
 /// count comes with a high utilisation.
 #[test]
 fn estimated_capacity_is_ratio_of_moving_averages() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     for _ in 0..60 {
         harness.now += 50.0;
         harness.report(1, 6.0, 0.75);
@@ -182,7 +182,7 @@
     harness.report(1, 1.0, 0.89);
     harness.report(1, 4.0, 0.75);
     harness.report(2, 6.0, 0.75);
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert_eq!(
         sent_to(&actions),
         Some(UpstreamId(1)),
@@ -195,13 +195,14 @@
 #[test]
 fn stale_reports_do_not_cause_herding() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].latency_target = 450.0;
-    let mut harness = BalancerHarness::new(settings, vec![listing(1), listing(2), listing(3)]);
+    settings.classes[IDEMPOTENT.0].latency_target = 450.0;
+    let mut harness =
+        BalancerHarness::new(settings, vec![upstream_record(1), upstream_record(2), upstream_record(3)]);
     harness.report_steady_load(&[1, 2, 3], 4.0, 0.9);
     let mut sends = BTreeMap::new();
     for round in 0..400 {
         harness.now += 10.0;
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let Some(upstream) = sent_to(&actions) else { continue };
         if round >= 200 {
             *sends.entry(upstream.0).or_insert(0) += 1;
@@ -224,11 +225,11 @@
 /// divided by utilisation is far too high at first.
 #[test]
 fn first_reports_do_not_set_estimated_capacity() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     for id in [1, 2] {
         harness.report(id, 12.0, 0.12);
     }
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert!(refused(&actions), "12 requests on a server of unknown capacity are a long queue");
 }
 
@@ -238,8 +239,9 @@
 fn server_without_reports_gets_estimated_capacity_of_its_machine_type() {
     let machine_type = |id: u64| MachineTypeId(id % 2);
     let sends_to_unreported = |counted_type: MachineTypeId| {
-        let servers =
-            (1..=12).map(|id| UpstreamRecord { machine_type: machine_type(id), ..listing(id) }).collect();
+        let servers = (1..=12)
+            .map(|id| UpstreamRecord { machine_type: machine_type(id), ..upstream_record(id) })
+            .collect();
         let mut harness = BalancerHarness::new(settings(), servers);
         // Of the reporting servers, those with odd ids have four times the capacity.
         harness.report_steady_load(&[1, 3], 4.0, 0.5);
@@ -248,7 +250,7 @@
         let mut sends = 0;
         for _ in 0..400 {
             harness.now += 500.0;
-            let (request, actions) = harness.arrive(REPEATABLE);
+            let (request, actions) = harness.arrive(IDEMPOTENT);
             let upstream = sent_to(&actions).expect("a server has capacity left");
             sends += u32::from(upstream.0 > 4 && machine_type(upstream.0) == counted_type);
             harness.finish(request, 0, upstream, Outcome::Ok, 20.0);
@@ -263,10 +265,10 @@
 /// latency target.
 #[test]
 fn request_is_sent_without_waiting_for_probes_of_stale_servers() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 2.0, 0.5);
     harness.now += 5_000.0;
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert!(sent_to(&actions).is_some(), "sent in spite of stale reports: {actions:?}");
     for id in [1, 2] {
         assert!(actions.contains(&Action::Probe(UpstreamId(id))), "server {id} must be probed");
@@ -280,10 +282,10 @@
 /// Guards against herding on one low report: reports in responses describe an earlier moment and vary.
 #[test]
 fn one_low_report_in_a_response_does_not_make_a_busy_server_look_idle() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 2.0, 0.25);
     let request_at_first = loop {
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("a server has capacity left");
         if upstream == UpstreamId(1) {
             break request;
@@ -305,7 +307,7 @@
     }));
     harness.report(2, 2.0, 0.25);
     assert_eq!(
-        sent_to(&harness.arrive(REPEATABLE).1),
+        sent_to(&harness.arrive(IDEMPOTENT).1),
         Some(UpstreamId(2)),
         "the first server still has six requests of other sidecars"
     );
@@ -315,12 +317,12 @@
 /// reports.
 #[test]
 fn servers_with_reports_in_responses_are_rarely_probed() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     let report = LoadReport { in_flight: Some(1.0), utilisation: Some(0.3), ..LoadReport::default() };
     let mut probes = 0;
     for round in 0..200 {
         harness.now += 100.0;
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("a server has capacity left");
         let probes_now = actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         probes += if round < 20 { 0 } else { probes_now };
@@ -343,12 +345,12 @@
 #[test]
 fn request_with_little_time_left_is_refused_only_behind_a_queue() {
     let arrive_at_load = |in_flight: f64| {
-        let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+        let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
         harness.report_steady_load(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
         harness.handle_event(Event::RequestArrived {
             request,
-            class: REPEATABLE,
+            class: IDEMPOTENT,
             tenant,
             time_left: 40.0,
             cost: None,
@@ -361,13 +363,13 @@
 /// Guards against timing out large requests early: another attempt takes as much work and would time out as well.
 #[test]
 fn request_with_large_cost_hint_gets_longer_attempt_timeout() {
-    let mut harness = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
+    let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     harness.report_steady_load(&[1, 2, 3, 4], 1.0, 0.25);
     let mut attempt_timeout = |id: u64, cost: f64| {
         let request = RequestId(10_000 + id);
         let tenant = TenantId(0);
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 500.0, cost: Some(cost) };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant, time_left: 500.0, cost: Some(cost) };
         let actions = harness.handle_event(event);
         let sent = actions.iter().find_map(|action| match action {
             Action::Send { upstream, timeout, .. } => Some((*upstream, *timeout)),
--- a/tests/unusual_settings.rs
+++ b/tests/unusual_settings.rs
@@ -18,7 +18,7 @@
     let (mut requests_served, mut probes_sent) = (0, 0);
     for _ in 0..300 {
         harness.now += 30.0;
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         probes_sent += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = LoadReport { in_flight: Some(2.0), utilisation: Some(0.5), ..LoadReport::default() };
@@ -41,7 +41,7 @@
     let mut settings = settings();
     settings.limits.allow_probes = false;
     assert_eq!(
-        serve(settings, (1..=4).map(listing).collect(), false),
+        serve(settings, (1..=4).map(upstream_record).collect(), false),
         ServeCounts { requests_served: 300, probes_sent: 0 }
     );
 }
@@ -51,7 +51,7 @@
     let mut settings = settings();
     settings.limits.allow_probes = false;
     assert_eq!(
-        serve(settings, (1..=4).map(listing).collect(), true),
+        serve(settings, (1..=4).map(upstream_record).collect(), true),
         ServeCounts { requests_served: 300, probes_sent: 0 }
     );
 }
@@ -60,7 +60,7 @@
 fn single_server_in_another_zone() {
     let mut settings = settings();
     settings.zone_crossing_cost = 0.2;
-    let in_other_zone = UpstreamRecord { zone: ZoneId(5), ..listing(1) };
+    let in_other_zone = UpstreamRecord { zone: ZoneId(5), ..upstream_record(1) };
     assert_eq!(serve(settings, vec![in_other_zone], false).requests_served, 300);
 }
 
@@ -69,20 +69,20 @@
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecar_count = 0;
-    let mut harness = BalancerHarness::new(settings, vec![listing(1)]);
-    assert!(refused(&harness.arrive(REPEATABLE).1), "a request of an unknown class must be refused");
+    let mut harness = BalancerHarness::new(settings, vec![upstream_record(1)]);
+    assert!(refused(&harness.arrive(IDEMPOTENT).1), "a request of an unknown class must be refused");
 }
 
 #[test]
 fn tenants_without_quotas() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 0.0 }, Tenant { quota_per_s: 0.0 }];
-    assert_eq!(serve(settings, (1..=4).map(listing).collect(), false).requests_served, 300);
+    assert_eq!(serve(settings, (1..=4).map(upstream_record).collect(), false).requests_served, 300);
 }
 
 #[test]
 fn concurrent_attempts_allowed() {
     let mut settings = settings();
     settings.limits.allow_concurrent_attempts = true;
-    assert_eq!(serve(settings, (1..=4).map(listing).collect(), false).requests_served, 300);
+    assert_eq!(serve(settings, (1..=4).map(upstream_record).collect(), false).requests_served, 300);
 }
