--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -101,7 +101,8 @@
     }
 }
 
-/// Warm servers cannot take the load: there are none or too few, or they fail.
+/// Guards against overload of cold servers when the warm ones cannot take the load: there are none or too few, or they
+/// fail.
 #[test]
 fn cold_servers_stay_within_budget_under_overload() {
     for sidecars in [4, 30, 300] {
@@ -117,7 +118,7 @@
     }
 }
 
-/// All servers start cold, and one third has about half the speed of another third.
+/// All servers start cold, and those of one third are about half as fast as those of another third.
 #[test]
 fn slow_servers_stay_within_their_budget() {
     for (load, sidecar_index_known, seed) in
@@ -129,7 +130,7 @@
     }
 }
 
-/// A restarted sidecar does not know what it sent before the restart.
+/// Guards against spending an allowance twice: a restarted sidecar does not know what it sent before.
 #[test]
 fn sidecar_restarts_during_warm_up_stay_within_budget() {
     for sidecars in [4, 30, 300] {
@@ -149,7 +150,7 @@
 }
 
 /// Three in four servers of each cell are cold and the others return errors for half of their requests. Those are
-/// resent within the cell.
+/// retried within the cell.
 #[test]
 fn further_attempts_within_a_cell_stay_within_budget() {
     for sidecars in [4, 30, 300] {
@@ -170,20 +171,21 @@
 fn allowance_for_attempt_bound_to_one_cell_is_based_on_whole_subset() {
     const DURATION_S: f64 = 10.0;
     const ARRIVALS_PER_S: f64 = 200.0;
+    const SERVER_COUNT: f64 = 20.0;
     let mut settings = settings();
     settings.cold_start =
         ColdStartLimits { initial_capacity_fraction: 0.05, warm_up: 1e9, ..settings.cold_start };
-    // The load is assumed to be spread evenly over all 20 servers.
+    // The load is assumed to be spread evenly over all servers.
     let allowed_per_s = settings.cold_start.overload_multiple
         * settings.cold_start.initial_capacity_fraction
         * ARRIVALS_PER_S
-        / 20.0;
+        / SERVER_COUNT;
     // Two servers share a cell, one of them cold; the other 18 servers have a cell each.
     let cold = UpstreamRecord { started_at: Some(1_000.0), ..upstream_record(2) };
     let other_servers = (1..=18).map(|cell| upstream_record(10 * cell));
     let mut harness =
         BalancerHarness::new(settings, [upstream_record(1), cold].into_iter().chain(other_servers).collect());
-    let (mut unanswered, mut sent_to_cold) = (0, 0);
+    let (mut cancelled, mut sent_to_cold) = (0, 0);
     for _ in 0..(DURATION_S * ARRIVALS_PER_S) as usize {
         harness.now += 1_000.0 / ARRIVALS_PER_S;
         let (request, actions) = harness.arrive(KEYED_PER_CELL);
@@ -191,14 +193,14 @@
         sent_to_cold += usize::from(first.0 == 2);
         // Attempts at the warm server of the cell are cancelled, so the request may have run and stays in the
         // cell.
-        unanswered += usize::from(first.0 == 1);
+        cancelled += usize::from(first.0 == 1);
         let outcome = if first.0 == 1 { Outcome::Cancelled } else { Outcome::Ok };
         let actions = harness.finish(request, 0, first, outcome, 2.0);
         let Some(next) = sent_to(&actions) else { continue };
         sent_to_cold += usize::from(next.0 == 2);
         harness.finish(request, 1, next, Outcome::Ok, 2.0);
     }
-    assert!(unanswered > 20, "only {unanswered} requests to resend within the cell");
+    assert!(cancelled > 20, "only {cancelled} requests to retry within the cell");
     let allowed = allowed_per_s * DURATION_S;
     assert!(
         (1.0..=allowed).contains(&f64::from(sent_to_cold as u32)),
--- a/tests/ejection_and_admission.rs
+++ b/tests/ejection_and_admission.rs
@@ -1,12 +1,12 @@
 //! Outlier ejection and admission control: failing servers are ejected and return through half-open trials;
-//! requests that no server can answer in time are refused.
+//! requests that no server can complete in time are refused.
 
 mod common;
 
 use common::*;
 use sagemast::api::*;
 
-/// Sends requests and ends every attempt at once: at server 1, or at all servers if `all_fail`, with `outcome`
+/// Sends `rounds` requests and ends every attempt at once: at server 1, or at all servers if `all_fail`, with `outcome`
 /// after 2 ms, at the others with success after 30 ms. Returns the number of attempts sent to server 1.
 fn run_with_outcome(harness: &mut BalancerHarness, rounds: usize, outcome: Outcome, all_fail: bool) -> usize {
     let mut sent_to_first = 0;
@@ -69,24 +69,24 @@
 fn response_to_attempt_sent_before_ejection_does_not_end_it() {
     let mut harness = BalancerHarness::new(settings(), (1..=5).map(upstream_record).collect());
     harness.report_steady_load(&[1, 2, 3, 4, 5], 2.0, 0.1);
-    let mut requests_at_first = Vec::new();
+    let mut requests_at_first_server = Vec::new();
     for _ in 0..60 {
         let (request, actions) = harness.arrive(NON_IDEMPOTENT);
         if sent_to(&actions) == Some(UpstreamId(1)) {
-            requests_at_first.push(request);
+            requests_at_first_server.push(request);
         }
     }
-    let (failing, succeeding) = requests_at_first.split_at(6);
+    let (failing, succeeding) = requests_at_first_server.split_at(6);
     assert!(
         succeeding.len() > 2,
         "{} requests sent to the first server before the failures",
-        requests_at_first.len()
+        requests_at_first_server.len()
     );
     let ejected = failing.iter().any(|request| {
         let actions = harness.finish(*request, 0, UpstreamId(1), Outcome::Error, 30.0);
         actions.iter().any(|action| matches!(action, Action::Log(text) if text.contains("ejected")))
     });
-    assert!(ejected);
+    assert!(ejected, "six failures in a row must eject the server");
     for request in succeeding {
         let actions = harness.finish(*request, 0, UpstreamId(1), Outcome::Ok, 30.0);
         assert_eq!(actions, [], "the server must stay ejected");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn requests_are_refused_when_no_server_can_answer_in_time() {
+fn requests_are_refused_when_no_server_can_complete_them_in_time() {
     let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     for id in [1, 2] {
         harness.report(id, 1.0, 0.5);
@@ -187,6 +187,12 @@
     assert!(sent_to(&harness.arrive(IDEMPOTENT).1).is_some());
 }
 
+#[derive(Debug, Default)]
+struct RequestCount {
+    arrived: u32,
+    refused: u32,
+}
+
 /// Guards against random load shedding: under overload, requests of low value and of tenants above their quota are
 /// refused first.
 #[test]
@@ -217,25 +223,25 @@
             time_left: 500.0,
             cost: None,
         });
-        let (refused_count, arrived_count): &mut (u32, u32) = counts.entry((class, tenant)).or_default();
-        *arrived_count += 1;
-        *refused_count += u32::from(refused(&actions));
+        let count: &mut RequestCount = counts.entry((class, tenant)).or_default();
+        count.arrived += 1;
+        count.refused += u32::from(refused(&actions));
         if let Some(upstream) = sent_to(&actions) {
             harness.handle_event(Event::RequestAbandoned(request));
             harness.finish(request, 0, upstream, Outcome::Cancelled, 1.0);
         }
     }
     let refusal_rate = |class, tenant| {
-        let (refused_count, arrived_count): (u32, u32) = counts[&(class, TenantId(tenant))];
-        f64::from(refused_count) / f64::from(arrived_count)
+        let count: &RequestCount = &counts[&(class, TenantId(tenant))];
+        f64::from(count.refused) / f64::from(count.arrived)
     };
     assert!(
         refusal_rate(IDEMPOTENT, 0) > refusal_rate(KEYED_FLEET_WIDE, 0) + 0.1,
-        "(refused, arrived) by class and tenant: {counts:?}"
+        "requests by class and tenant: {counts:?}"
     );
     assert!(
         refusal_rate(KEYED_FLEET_WIDE, 0) > refusal_rate(KEYED_FLEET_WIDE, 1) + 0.1,
-        "(refused, arrived) by class and tenant: {counts:?}"
+        "requests by class and tenant: {counts:?}"
     );
 }
 
@@ -297,16 +303,20 @@
 #[test]
 fn retry_delay_after_refusal_is_jittered_and_below_latency_target() {
     let mut harness = BalancerHarness::new(settings(), vec![]);
-    let waits: Vec<Millis> = (0..200)
+    let retry_delays: Vec<Millis> = (0..200)
         .flat_map(|_| harness.arrive(IDEMPOTENT).1)
         .filter_map(|action| match action {
             Action::Refuse { retry_after, .. } => Some(retry_after),
             _ => None,
         })
         .collect();
-    assert_eq!(waits.len(), 200);
-    assert!(waits.iter().all(|wait| *wait < 100.0), "at most half of the latency target of 200 ms");
-    let spread = waits.iter().copied().fold(0.0, f64::max) - waits.iter().copied().fold(1e9, f64::min);
+    assert_eq!(retry_delays.len(), 200);
+    assert!(
+        retry_delays.iter().all(|delay| *delay < 100.0),
+        "above half of the latency target of 200 ms: {retry_delays:?}"
+    );
+    let spread =
+        retry_delays.iter().copied().fold(0.0, f64::max) - retry_delays.iter().copied().fold(1e9, f64::min);
     assert!(spread > 30.0, "retry delays spread over only {spread} ms");
 }
 
@@ -332,6 +342,7 @@
         let upstream = sent_to(&actions).expect("a server has capacity left");
         let is_cold = upstream == UpstreamId(2) && round >= 40;
         sent_to_cold += usize::from(is_cold);
+        // The service time falls as the capacity of the cold server grows.
         let latency =
             if is_cold { 20.0 / (0.2 + 0.8 * (harness.now - cold_since) / 100_000.0) } else { 20.0 };
         harness.now += latency;
@@ -429,7 +440,7 @@
             }
             assert!(
                 harness.now - last_sent_at < 4_000.0,
-                "no attempt for 4 s with one request every {interval} ms"
+                "no attempt was sent for 4 s with one request every {interval} ms"
             );
         }
         assert!(refusals > 0, "requests must be refused while the reports are fresh");
@@ -579,5 +590,8 @@
             attempt += 1;
         }
     }
-    assert!((1..30).contains(&sent_to_rejecting), "{sent_to_rejecting} attempts in 300 requests");
+    assert!(
+        (1..30).contains(&sent_to_rejecting),
+        "{sent_to_rejecting} attempts at the rejecting server in 300 requests"
+    );
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the decision module: every request ends with one response, no request is resent where a second
+//! Invariants of the decision module: every request ends with one response, no request is retried where a second
 //! execution is unsafe, only listed serving servers get requests, and cold servers stay within their overload budget.
 
 mod common;
@@ -18,7 +18,7 @@
     let mut harness = BalancerHarness::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = harness.arrive(ClassId(class));
-        assert!(refused(&actions), "no attempt was sent");
+        assert!(refused(&actions), "class {class}: {actions:?}");
     }
 }
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn non_idempotent_request_is_resent_only_if_it_did_not_run() {
+fn non_idempotent_request_is_retried_only_if_it_did_not_run() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut harness = BalancerHarness::new(settings(), three_cells());
         let (request, actions) = harness.arrive(NON_IDEMPOTENT);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn keyed_request_is_resent_only_within_dedup_scope() {
+fn keyed_request_is_retried_only_within_dedup_scope() {
     for preceding_arrivals in 0..40 {
         for (class, ids_per_scope) in [(KEYED_PER_CELL, 10), (KEYED_PER_ZONE, 20)] {
             let mut harness = BalancerHarness::new(settings(), three_cells());
@@ -91,7 +91,7 @@
             harness.now += 20.0;
             let actions = harness.finish(request, 0, first, Outcome::Error, 20.0);
             if let Some(next) = sent_to(&actions) {
-                assert_eq!(next.0 / ids_per_scope, first.0 / ids_per_scope);
+                assert_eq!(next.0 / ids_per_scope, first.0 / ids_per_scope, "{first:?}, then {next:?}");
             }
             assert!(!refused(&actions), "a client retry could reach a server outside the scope");
         }
@@ -100,7 +100,7 @@
 
 /// The window counts from the first attempt that may have run, not from the latest.
 #[test]
-fn keyed_request_is_not_resent_after_dedup_window() {
+fn keyed_request_is_not_retried_after_dedup_window() {
     let mut settings = settings();
     settings.classes[KEYED_PER_CELL.0].latency_target = 5_000.0;
     let mut harness = BalancerHarness::new(settings, three_cells());
@@ -109,24 +109,25 @@
     (0..2).for_each(|_| drop(harness.handle_event(Event::TimerFired(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
-    let mut resent_to = None;
+    let mut retried_at = None;
     for id in [1, 2, 3, 11, 12, 13, 21, 22, 23] {
         // The outcome ends attempt 0 of the request, whichever server it names.
         harness.now = 1_200.0;
         let actions = harness.finish(request, 0, UpstreamId(id), Outcome::Error, 200.0);
         if let Some(next) = sent_to(&actions) {
             attempt = 1;
-            resent_to = Some(next);
+            retried_at = Some(next);
             break;
         }
     }
-    let second = resent_to.expect("the request is resent within the window");
+    let second = retried_at.expect("the request is retried within the window");
     harness.now = 1_310.0;
     let actions = harness.finish(request, attempt, second, Outcome::Error, 110.0);
     assert_eq!(sent_to(&actions), None);
     assert!(failed(&actions));
 }
 
+/// The arrival of a request of any tenant, without a cost hint.
 fn arrival(id: u64, class: ClassId, time_left: Millis) -> Event {
     Event::RequestArrived { request: RequestId(id), class, tenant: TenantId(0), time_left, cost: None }
 }
@@ -179,7 +180,7 @@
     let mut settings = settings();
     settings.discovery = DiscoveryMode::Subscribe { subscribe_within: 10_000.0 };
     let mut harness = BalancerHarness::new(settings, vec![]);
-    let mut waits = Vec::new();
+    let mut call_delays = Vec::new();
     let mut actions =
         harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Restored(vec![upstream_record(1)])));
     for _ in 0..12 {
@@ -188,16 +189,19 @@
         actions = harness.handle_event(Event::TimerFired(0));
         assert!(actions.contains(&Action::Subscribe));
         let after_failure = harness.handle_event(Event::DiscoveryUpdated(DiscoveryUpdate::Unavailable));
-        waits.extend(after_failure.iter().filter_map(|action| match action {
+        call_delays.extend(after_failure.iter().filter_map(|action| match action {
             Action::SetTimer { at, .. } => Some(at - harness.now),
             _ => None,
         }));
         actions = vec![];
     }
-    assert_eq!(waits.len(), 12);
+    assert_eq!(call_delays.len(), 12);
     // The list must be current 6 s after discovery becomes reachable; longer delays leave too little of that.
-    assert!(waits.iter().all(|wait| (0.0..1_500.0).contains(wait)), "{waits:?}");
-    assert!(waits.iter().any(|wait| *wait > 750.0), "calls are spread over time: {waits:?}");
+    assert!(call_delays.iter().all(|delay| (0.0..1_500.0).contains(delay)), "{call_delays:?}");
+    assert!(
+        call_delays.iter().any(|delay| *delay > 750.0),
+        "calls must be spread over time: {call_delays:?}"
+    );
 }
 
 /// Sidecars share the overload budget of a cold server without coordination. Guards against exceeding it, and
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -107,6 +107,12 @@
 error: doctest failed, to rerun pass `--doc`
 ";
 
+/// Exit status of `cargo test` if a test has failed or a target could not be built.
+const TESTS_FAILED: i32 = 101;
+/// Exit status of a process that was ended with SIGKILL.
+const KILLED: i32 = 137;
+
+// Lines of a list that fit the failed tests above.
 const NET_BAD: &str = "tests/a.rs::net::bad | one is not two | issue 7";
 const MUST_PANIC: &str = "tests/a.rs::must_panic | it doesn't; öfter | issue 12";
 const INNER: &str = "src/main.rs::net::tests::inner | asserts what is false | issue 7";
@@ -131,9 +137,22 @@
     path
 }
 
-/// Runs the script on a list and, optionally, the output and the exit status of a run. Returns whether the script
-/// succeeded, and its standard output and standard error.
-fn run_script(list: &Path, run: Option<(&str, i32)>) -> (bool, String) {
+#[derive(Debug, PartialEq)]
+struct ScriptResult {
+    /// Whether the script exited with status 0.
+    accepted: bool,
+    /// Its standard output, followed by its standard error.
+    printed: String,
+}
+
+impl ScriptResult {
+    fn accepted_silently() -> ScriptResult {
+        ScriptResult { accepted: true, printed: String::new() }
+    }
+}
+
+/// Runs the script on a list and, optionally, the output and the exit status of a run.
+fn run_script(list: &Path, run: Option<(&str, i32)>) -> ScriptResult {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     let mut command = Command::new("bash");
     command.arg(script).arg(list);
@@ -146,17 +165,21 @@
         std::fs::remove_file(output).unwrap();
     }
     let printed = [result.stdout, result.stderr].concat();
-    (result.status.success(), String::from_utf8_lossy(&printed).into_owned())
+    ScriptResult {
+        accepted: result.status.success(),
+        printed: String::from_utf8_lossy(&printed).into_owned(),
+    }
 }
 
 /// Runs the script on a list of these lines and on the output and the exit status of a run.
-fn check_run(lines: &[&str], run: &str, status: i32) -> (bool, String) {
+fn check_run(lines: &[&str], run: &str, status: i32) -> ScriptResult {
     let list = write_file((lines.join("\n") + "\n").as_bytes());
     let result = run_script(&list, Some((run, status)));
     std::fs::remove_file(list).unwrap();
     result
 }
 
+/// The path of a file that does not exist.
 fn missing_list() -> PathBuf {
     let path = write_file(b"");
     std::fs::remove_file(&path).unwrap();
@@ -164,18 +187,21 @@
 }
 
 #[track_caller]
-fn assert_rejected((passed, printed): (bool, String), message: &str) {
-    assert!(!passed, "accepted, and printed {printed:?}");
+fn assert_rejected(ScriptResult { accepted, printed }: ScriptResult, message: &str) {
+    assert!(!accepted, "accepted, and printed {printed:?}");
     assert!(printed.contains(message), "printed {printed:?} instead of {message:?}");
 }
 
 #[test]
 fn without_a_list_all_tests_must_pass() {
-    assert_eq!(run_script(&missing_list(), None), (true, String::new()));
-    assert_eq!(run_script(&missing_list(), Some((&run_output(&[PASS], &[]), 0))), (true, String::new()));
+    assert_eq!(run_script(&missing_list(), None), ScriptResult::accepted_silently());
+    assert_eq!(
+        run_script(&missing_list(), Some((&run_output(&[PASS], &[]), 0))),
+        ScriptResult::accepted_silently()
+    );
     let output = run_output(&[ONE_FAILS, PASS], &["--bin sagemast"]);
     assert_rejected(
-        run_script(&missing_list(), Some((&output, 101))),
+        run_script(&missing_list(), Some((&output, TESTS_FAILED))),
         "src/main.rs::net::tests::inner failed",
     );
 }
@@ -183,8 +209,8 @@
 #[test]
 fn expected_failures_are_accepted_and_printed() {
     let output = run_output(&[ONE_FAILS, TWO_FAIL, PASS], &["--bin sagemast", "--test a"]);
-    let (passed, printed) = check_run(&[NET_BAD, MUST_PANIC, INNER], &output, 101);
-    assert!(passed, "{printed:?}");
+    let ScriptResult { accepted, printed } = check_run(&[NET_BAD, MUST_PANIC, INNER], &output, TESTS_FAILED);
+    assert!(accepted, "{printed:?}");
     let lines: Vec<&str> = printed.lines().collect();
     assert_eq!(
         lines,
@@ -199,17 +225,20 @@
 #[test]
 fn unlisted_failure_is_rejected() {
     let output = run_output(&[ONE_FAILS, TWO_FAIL, PASS], &["--bin sagemast", "--test a"]);
-    assert_rejected(check_run(&[NET_BAD, INNER], &output, 101), "tests/a.rs::must_panic failed");
+    assert_rejected(check_run(&[NET_BAD, INNER], &output, TESTS_FAILED), "tests/a.rs::must_panic failed");
     // The same name in another file, and a part of the name.
     let other_file = "tests/ok.rs::net::bad | x | issue 7";
-    assert_rejected(check_run(&[other_file, MUST_PANIC, INNER], &output, 101), "tests/a.rs::net::bad failed");
+    assert_rejected(
+        check_run(&[other_file, MUST_PANIC, INNER], &output, TESTS_FAILED),
+        "tests/a.rs::net::bad failed",
+    );
     let partial_name = "tests/a.rs::bad | x | issue 7";
     assert_rejected(
-        check_run(&[partial_name, MUST_PANIC, INNER], &output, 101),
+        check_run(&[partial_name, MUST_PANIC, INNER], &output, TESTS_FAILED),
         "tests/a.rs::net::bad failed",
     );
     let doc = run_output(&[TWO_FAIL, DOC_FAILS], &["--test a", "--doc"]);
-    assert_rejected(check_run(&[NET_BAD, MUST_PANIC], &doc, 101), "src/lib.rs - f (line 1) failed");
+    assert_rejected(check_run(&[NET_BAD, MUST_PANIC], &doc, TESTS_FAILED), "src/lib.rs - f (line 1) failed");
 }
 
 #[test]
@@ -224,7 +253,7 @@
         ("tests/b.rs::net::bad", "tests/b.rs::net::bad was not run: remove it from"),
     ] {
         assert_rejected(
-            check_run(&[NET_BAD, MUST_PANIC, &format!("{test} | x | issue 1")], &output, 101),
+            check_run(&[NET_BAD, MUST_PANIC, &format!("{test} | x | issue 1")], &output, TESTS_FAILED),
             message,
         );
     }
@@ -238,40 +267,43 @@
 fn incomplete_run_is_rejected() {
     let list = [NET_BAD, MUST_PANIC];
     let crash = run_output(&[TWO_FAIL, CRASH, PASS], &["--test a", "--test crash"]);
-    assert_rejected(check_run(&list, &crash, 101), "tests/crash.rs did not finish");
+    assert_rejected(check_run(&list, &crash, TESTS_FAILED), "tests/crash.rs did not finish");
     // Cargo also counts a target that crashes after its tests or exits without output.
     let crash_after_tests = run_output(&[TWO_FAIL, PASS], &["--test a", "--test ok"]);
     assert_rejected(
-        check_run(&list, &crash_after_tests, 101),
+        check_run(&list, &crash_after_tests, TESTS_FAILED),
         "2 failed targets reported by cargo, but 1 with failed tests",
     );
     let crash_with_summary = TWO_FAIL.to_owned() + CRASH.split_once("\nCaused by:").unwrap().1;
     assert_rejected(
-        check_run(&list, &run_output(&[&crash_with_summary, PASS], &["--test a"]), 101),
+        check_run(&list, &run_output(&[&crash_with_summary, PASS], &["--test a"]), TESTS_FAILED),
         "tests/a.rs exited abnormally",
     );
     let truncated = TWO_FAIL.split_once("test result: ").unwrap().0;
     assert_rejected(
-        check_run(&list, &run_output(&[truncated], &["--test a"]), 101),
+        check_run(&list, &run_output(&[truncated], &["--test a"]), TESTS_FAILED),
         "cargo test exited with 101, but no test failed",
     );
     let missing_name = TWO_FAIL.replace("    net::bad\n", "");
     assert_rejected(
-        check_run(&[MUST_PANIC], &run_output(&[&missing_name], &["--test a"]), 101),
+        check_run(&[MUST_PANIC], &run_output(&[&missing_name], &["--test a"]), TESTS_FAILED),
         "the summary of tests/a.rs is inconsistent",
     );
     let second_result = TWO_FAIL.replace("thread 'net::bad'", "test result: ok. 5 passed; 0 failed;");
     assert_rejected(
-        check_run(&list, &run_output(&[&second_result], &["--test a"]), 101),
+        check_run(&list, &run_output(&[&second_result], &["--test a"]), TESTS_FAILED),
         "tests/a.rs has more than one result",
     );
     let compile_error = "   Compiling sagemast v0.1.0\nerror: could not compile `sagemast` (test \"ok\")\n";
-    assert_rejected(check_run(&list, compile_error, 101), "cargo test exited with 101, but no test failed");
+    assert_rejected(
+        check_run(&list, compile_error, TESTS_FAILED),
+        "cargo test exited with 101, but no test failed",
+    );
     assert_rejected(check_run(&list, "", 0), "no test target was run");
     let output = run_output(&[TWO_FAIL, PASS], &["--test a"]);
     assert_rejected(check_run(&list, &output, 0), "cargo test exited with 0, but tests failed");
-    assert_rejected(check_run(&list, &output, 137), "cargo test exited with 137");
-    assert_rejected(check_run(&list, &run_output(&[PASS], &[]), 137), "cargo test exited with 137");
+    assert_rejected(check_run(&list, &output, KILLED), "cargo test exited with 137");
+    assert_rejected(check_run(&list, &run_output(&[PASS], &[]), KILLED), "cargo test exited with 137");
 }
 
 #[test]
@@ -325,7 +357,7 @@
     let three_tests = format!("{NET_BAD}\n{MUST_PANIC}\n{INNER}");
     for list in [NET_BAD.to_owned() + "\n", three_tests.clone() + "\n", three_tests] {
         let path = write_file(list.as_bytes());
-        assert_eq!(run_script(&path, None), (true, String::new()), "{list:?}");
+        assert_eq!(run_script(&path, None), ScriptResult::accepted_silently(), "{list:?}");
         std::fs::remove_file(path).unwrap();
     }
 }
--- a/tests/load_report.rs
+++ b/tests/load_report.rs
@@ -3,7 +3,7 @@
 use sagemast::settings::*;
 
 #[test]
-fn report_is_parsed_from_text() {
+fn only_configured_columns_of_a_report_are_read_and_invalid_text_is_rejected() {
     let columns = [ReportColumn::InFlight, ReportColumn::ErrorsPerS, ReportColumn::Utilisation];
     let parse = |text| report_from_text(&columns, text);
     let report = parse("TEXT inflight=7, queue=2, util=0.61").expect("two of three columns are present");
--- a/tests/many_sidecars.rs
+++ b/tests/many_sidecars.rs
@@ -7,11 +7,14 @@
 use common::*;
 use sagemast::api::*;
 
+/// The number of servers, more than one of 100 sidecars uses.
 const SERVERS: u64 = 60;
 
 /// Servers in three zones; servers with consecutive ids are in different zones.
 fn servers(count: u64) -> Vec<UpstreamRecord> {
-    let ring_position = |id: u64| id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    /// Odd, so that different ids have different positions.
+    const RING_POSITION_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let ring_position = |id: u64| id.wrapping_mul(RING_POSITION_MULTIPLIER);
     (1..=count)
         .map(|id| UpstreamRecord {
             zone: ZoneId(id % 3),
@@ -21,6 +24,7 @@
         .collect()
 }
 
+/// The decision module of one sidecar of a fleet, with its index as the seed.
 fn sidecar(index: u32, sidecar_count: u32, server_count: u64) -> BalancerHarness {
     let settings = Settings { sidecar_count, sidecar_index: Some(index), ..settings() };
     BalancerHarness::with_seed(settings, servers(server_count), u64::from(index))
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn small_fleet_busy_sidecar_or_unknown_index_uses_all_servers() {
+fn sidecar_uses_all_servers_if_they_are_few_or_it_is_busy_or_has_no_index() {
     assert_eq!(count_sends(&mut sidecar(1, 4, 14), 400, 70.0, &[]).len(), 14);
     assert_eq!(count_sends(&mut sidecar(1, 100, SERVERS), 4_000, 10.0, &[]).len() as u64, SERVERS);
     let mut without_index = BalancerHarness::new(
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,5 +1,5 @@
 //! Property-based test: for any legal order of events the module does not panic, sends only to serving servers,
-//! resends no request where a second execution is unsafe, and ends every request with one response.
+//! retries no request where a second execution is unsafe, and ends every request with one response.
 
 mod common;
 
@@ -10,6 +10,11 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
+/// Consecutive server ids that share a zone.
+const IDS_PER_ZONE: u64 = 20;
+/// Consecutive server ids that share a cell, as in [`upstream_record`].
+const IDS_PER_CELL: u64 = 10;
+
 struct AttemptState {
     upstream: UpstreamId,
     sent_at: Millis,
@@ -19,9 +24,11 @@
 }
 
 struct RequestState {
+    /// Index into the classes of the settings.
     class: usize,
     deadline: Millis,
     attempts: Vec<AttemptState>,
+    /// Whether the client has its final response or has disconnected.
     ended: bool,
 }
 
@@ -43,6 +50,7 @@
         self.rng.rand_range(0..bound as u64) as usize
     }
 
+    /// Checks actions against the invariants and records their effects.
     fn check_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -50,7 +58,10 @@
                     let state = self.requests.get_mut(request).expect("a known request");
                     assert!(!state.ended, "attempt sent after the end of the request");
                     assert!(self.serving[upstream], "attempt sent to a server that is not serving");
-                    assert!((state.attempts.len() as u32) < self.settings.limits.max_attempts);
+                    assert!(
+                        (state.attempts.len() as u32) < self.settings.limits.max_attempts,
+                        "more attempts than allowed"
+                    );
                     assert!(
                         state.attempts.iter().all(|attempt| attempt.outcome.is_some()),
                         "two attempts of one request in flight"
@@ -70,13 +81,17 @@
                                 );
                                 match scope {
                                     DedupScope::All => {}
-                                    DedupScope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
-                                    DedupScope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
+                                    DedupScope::Zone => {
+                                        assert_eq!(upstream.0 / IDS_PER_ZONE, first.upstream.0 / IDS_PER_ZONE)
+                                    }
+                                    DedupScope::Cell => {
+                                        assert_eq!(upstream.0 / IDS_PER_CELL, first.upstream.0 / IDS_PER_CELL)
+                                    }
                                 }
                             }
                         }
                     }
-                    assert!(timeout.is_finite() && *timeout >= 0.0);
+                    assert!(timeout.is_finite() && *timeout >= 0.0, "timeout of {timeout} ms");
                     let timeout = timeout.min(state.deadline - self.now);
                     let (upstream, sent_at) = (*upstream, self.now);
                     state.attempts.push(AttemptState { upstream, sent_at, timeout, outcome: None });
@@ -99,10 +114,13 @@
                 }
                 Action::Probe(upstream) => self.pending_probes.push(*upstream),
                 Action::Cancel { request, attempt } => {
-                    assert!(self.requests[request].attempts.len() > attempt.0 as usize);
+                    assert!(
+                        self.requests[request].attempts.len() > attempt.0 as usize,
+                        "an attempt was cancelled that was never sent"
+                    );
                 }
                 Action::SetTimer { at, token } => {
-                    assert!(at.is_finite());
+                    assert!(at.is_finite(), "timer set to {at} ms");
                     self.pending_timers.push((*at, *token));
                 }
                 Action::Subscribe | Action::Log(_) => {}
@@ -110,18 +128,25 @@
         }
     }
 
+    /// A server with a valid or invalid weight.
     fn random_record(&mut self) -> UpstreamRecord {
         let id = 1 + self.random_below(39) as u64;
         let lifecycle = if self.random_below(4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         let started_at = (self.random_below(6) == 0).then_some(self.now);
         let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.random_below(6)];
-        UpstreamRecord { zone: ZoneId(id / 20), lifecycle, started_at, weight, ..upstream_record(id) }
+        UpstreamRecord {
+            zone: ZoneId(id / IDS_PER_ZONE),
+            lifecycle,
+            started_at,
+            weight,
+            ..upstream_record(id)
+        }
     }
 
+    /// A report with valid or invalid values, or none.
     fn random_report(&mut self) -> Option<LoadReport> {
-        let valid_and_invalid = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
-        let (in_flight, utilisation) =
-            (valid_and_invalid[self.random_below(8)], valid_and_invalid[self.random_below(8)]);
+        let values = [0.0, -3.0, f64::NAN, f64::INFINITY, 1e300, 0.5, 7.0, 30.0];
+        let (in_flight, utilisation) = (values[self.random_below(8)], values[self.random_below(8)]);
         let report = LoadReport {
             in_flight: Some(in_flight),
             utilisation: Some(utilisation),
@@ -303,7 +328,7 @@
                     .pending_timers
                     .iter()
                     .any(|(at, token)| *token == id.0 >> 1 && *at < state.deadline);
-                assert!(state.ended || in_flight || waiting, "request {id:?} was lost");
+                assert!(state.ended || in_flight || waiting, "seed {seed}: request {id:?} was lost");
             }
         }
     }
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -8,19 +8,27 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
+/// A request whose attempt has not ended yet.
+struct OutstandingRequest {
+    completes_at: Millis,
+    request: RequestId,
+    upstream: UpstreamId,
+    latency: Millis,
+}
+
 /// Sends `rounds` requests that take `latency` each to servers that report their load when probed. `capacities`
 /// holds the id and the capacity of each server. Returns the number of sends by server.
 fn count_sends(capacities: &[(u64, f64)], rounds: usize, latency: Millis) -> BTreeMap<u64, usize> {
     let mut harness =
         BalancerHarness::new(settings(), capacities.iter().map(|(id, _)| upstream_record(*id)).collect());
-    let mut outstanding: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
+    let mut outstanding: Vec<OutstandingRequest> = Vec::new();
     let mut in_flight_by_server: BTreeMap<u64, usize> = BTreeMap::new();
     let mut sends: BTreeMap<u64, usize> = BTreeMap::new();
     for _ in 0..rounds {
         harness.now += 5.0;
         let now = harness.now;
-        for (_, request, upstream) in
-            outstanding.extract_if(.., |(due, _, _)| *due <= now).collect::<Vec<_>>()
+        for OutstandingRequest { request, upstream, latency, .. } in
+            outstanding.extract_if(.., |outstanding| outstanding.completes_at <= now).collect::<Vec<_>>()
         {
             *in_flight_by_server.entry(upstream.0).or_default() -= 1;
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
@@ -29,7 +37,12 @@
         if let Some(upstream) = sent_to(&actions) {
             *in_flight_by_server.entry(upstream.0).or_default() += 1;
             *sends.entry(upstream.0).or_default() += 1;
-            outstanding.push((harness.now + latency, request, upstream));
+            outstanding.push(OutstandingRequest {
+                completes_at: harness.now + latency,
+                request,
+                upstream,
+                latency,
+            });
         }
         for action in actions {
             if let Action::Probe(upstream) = action {
@@ -62,7 +75,7 @@
 /// Guards against overestimating a saturated server: its in-flight count includes the queue, so in-flight divided
 /// by utilisation exceeds its capacity.
 #[test]
-fn report_of_saturated_server_does_not_raise_estimated_capacity() {
+fn report_of_saturated_server_does_not_raise_its_estimated_capacity() {
     let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 6.0, 0.75);
     for _ in 0..10 {
@@ -109,12 +122,12 @@
 fn slower_servers_get_fewer_requests() {
     let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     let mut sends = BTreeMap::new();
-    let mut outstanding: Vec<(Millis, RequestId, UpstreamId, Millis)> = Vec::new();
+    let mut outstanding: Vec<OutstandingRequest> = Vec::new();
     for _ in 0..3_000 {
         harness.now += 10.0;
         let now = harness.now;
-        for (_, request, upstream, latency) in
-            outstanding.extract_if(.., |(due, ..)| *due <= now).collect::<Vec<_>>()
+        for OutstandingRequest { request, upstream, latency, .. } in
+            outstanding.extract_if(.., |outstanding| outstanding.completes_at <= now).collect::<Vec<_>>()
         {
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
         }
@@ -122,7 +135,12 @@
         let Some(upstream) = sent_to(&actions) else { continue };
         *sends.entry(upstream.0).or_insert(0.0) += 1.0;
         let latency = if upstream.0 <= 2 { 60.0 } else { 30.0 };
-        outstanding.push((harness.now + latency, request, upstream, latency));
+        outstanding.push(OutstandingRequest {
+            completes_at: harness.now + latency,
+            request,
+            upstream,
+            latency,
+        });
     }
     assert!(sends[&3] + sends[&4] > 1.4 * (sends[&1] + sends[&2]), "{sends:?}");
 }
@@ -212,6 +230,7 @@
             harness.now += 1.0;
             harness.report(id, if id == 1 { 0.0 } else { 4.0 }, if id == 1 { 0.0 } else { 0.9 });
         }
+        // The request of seven rounds ago ends. Its outcome counts only for the server that it was sent to.
         if round >= 7 {
             for id in 1..=3 {
                 harness.finish(RequestId(request.0 - 7), 0, UpstreamId(id), Outcome::Ok, 90.0);
@@ -269,7 +288,7 @@
     harness.report_steady_load(&[1, 2], 2.0, 0.5);
     harness.now += 5_000.0;
     let (_, actions) = harness.arrive(IDEMPOTENT);
-    assert!(sent_to(&actions).is_some(), "sent in spite of stale reports: {actions:?}");
+    assert!(sent_to(&actions).is_some(), "the request was not sent: {actions:?}");
     for id in [1, 2] {
         assert!(actions.contains(&Action::Probe(UpstreamId(id))), "server {id} must be probed");
     }
@@ -365,6 +384,8 @@
 fn request_with_large_cost_hint_gets_longer_attempt_timeout() {
     let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     harness.report_steady_load(&[1, 2, 3, 4], 1.0, 0.25);
+    const USUAL_COST: f64 = 50_000.0;
+    const LARGE_COST: f64 = 400_000.0;
     let mut attempt_timeout = |id: u64, cost: f64| {
         let request = RequestId(10_000 + id);
         let tenant = TenantId(0);
@@ -382,13 +403,16 @@
     };
     for id in 0..100 {
         assert!(
-            attempt_timeout(id, 50_000.0) < 200.0,
-            "usual cost: another attempt can still meet the latency target"
+            attempt_timeout(id, USUAL_COST) < 200.0,
+            "at the usual cost another attempt must still meet the latency target"
         );
     }
     assert!(
-        attempt_timeout(100, 400_000.0) >= 500.0,
-        "eight times the usual cost: one attempt gets all the time left"
+        attempt_timeout(100, LARGE_COST) >= 500.0,
+        "at eight times the usual cost one attempt gets all the time left"
+    );
+    assert!(
+        attempt_timeout(101, USUAL_COST) < 200.0,
+        "a single large request does not change the usual cost"
     );
-    assert!(attempt_timeout(101, 50_000.0) < 200.0, "a single large request does not change the usual cost");
 }
--- a/tests/unusual_settings.rs
+++ b/tests/unusual_settings.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn no_probes_and_no_reports() {
+fn all_requests_are_served_without_probes_or_reports() {
     let mut settings = settings();
     settings.limits.allow_probes = false;
     assert_eq!(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn no_probes_but_reports_in_responses() {
+fn all_requests_are_served_without_probes_but_with_reports_in_responses() {
     let mut settings = settings();
     settings.limits.allow_probes = false;
     assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn single_server_in_another_zone() {
+fn all_requests_are_served_by_a_single_server_in_another_zone() {
     let mut settings = settings();
     settings.zone_crossing_cost = 0.2;
     let in_other_zone = UpstreamRecord { zone: ZoneId(5), ..upstream_record(1) };
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn no_classes_and_no_sidecars() {
+fn request_is_refused_if_no_classes_are_configured() {
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecar_count = 0;
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn tenants_without_quotas() {
+fn all_requests_are_served_if_all_quotas_are_zero() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 0.0 }, Tenant { quota_per_s: 0.0 }];
     assert_eq!(serve(settings, (1..=4).map(upstream_record).collect(), false).requests_served, 300);
 }
 
 #[test]
-fn concurrent_attempts_allowed() {
+fn all_requests_are_served_if_concurrent_attempts_are_allowed() {
     let mut settings = settings();
     settings.limits.allow_concurrent_attempts = true;
     assert_eq!(serve(settings, (1..=4).map(upstream_record).collect(), false).requests_served, 300);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,6 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Settings of a sidecar, with unknown keys, which must be ignored.
 const CONFIG: &str = r#"{"allowed":{"cancel":true,"max_attempts":3,"may_duplicate":false,"probes":true,
 "retry_after":true,"max_retry_after":400.0,"unknown_permission":1},"azs":["a","b"],
 "classes":[{"aim":250.0,"dedup_scope":"all","effect":"repeatable","hard_limit":500.0,"importance":2.0,
@@ -14,7 +15,8 @@
 "membership_mode":"automatic","peers_total":3,"period":4.0,"rank":0,"zone":1,
 "telemetry":{"columns":["inflight","unknown_column","util"],"how":"pull"},"unknown_table":{"a":[1,2]}}"#;
 
-fn run(input: &str) -> Output {
+/// Runs the adapter on this input until it exits.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sagemast-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -26,7 +28,7 @@
     child.wait_with_output().expect("failed to wait for the adapter")
 }
 
-/// A batch that starts a sidecar with one upstream.
+/// A batch that starts a sidecar with this membership mode and one upstream.
 fn start_batch(mode: &str) -> String {
     let config = CONFIG.replace('\n', "").replace("automatic", mode);
     let hello = format!(r#"{{"kind":"hello","salt":9,"config":{config}}}"#);
@@ -41,9 +43,10 @@
 
 /// Runs the adapter on the start batch and one more line.
 fn run_after_start(line: &str) -> Output {
-    run(&format!("{}\n{line}\n", start_batch("automatic")))
+    run_adapter(&format!("{}\n{line}\n", start_batch("automatic")))
 }
 
+/// A batch with one arriving request.
 const ARRIVAL: &str = r#"{"wall":104.5,"turn":2,"parts":[{"sidecar":"sidecar-0","inbox":[{"kind":"arrival",
 "xid":"0ce511c65d3a91c4","time_left":240.0,"category":0,"unknown_field":[1]}]}]}"#;
 
@@ -71,7 +74,7 @@
 fn subscription_is_requested_when_the_timer_fires() {
     let timer_fired =
         r#"{"wall":900.0,"turn":2,"parts":[{"sidecar":"sidecar-0","inbox":[{"kind":"ring","ref":0}]}]}"#;
-    let output = run(&format!("{}\n{timer_fired}\n", start_batch("subscribe")));
+    let output = run_adapter(&format!("{}\n{timer_fired}\n", start_batch("subscribe")));
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.lines().next().unwrap().contains(r#""kind":"set_alarm""#), "{text}");
     assert!(text.lines().nth(1).unwrap().contains(r#"{"kind":"follow","want":true}"#), "{text}");
@@ -139,6 +142,6 @@
 
 #[test]
 fn empty_input_exits_successfully() {
-    let output = run("");
+    let output = run_adapter("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
