--- a/tests/client_disconnects.rs
+++ b/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! No attempt is sent for a request whose client has disconnected: in the balancer, and in the sidecar process when it
-//! was paused and finds the disconnect together with the event that would trigger an attempt.
+//! No attempt is sent for a request whose client has disconnected: in the decision module, and in the sidecar process
+//! when it was paused and finds the disconnect together with the event that would trigger an attempt.
 
 mod common;
 mod loopback;
@@ -26,7 +26,7 @@
 ];
 
 /// Abandons a request after `finished_attempts` attempts that ended with `outcome`, while the next one, if any, is in
-/// flight and ends with `last_outcome`. The balancer may only cancel the attempt in flight.
+/// flight and ends with `last_outcome`. The module may only cancel the attempt in flight.
 fn assert_no_action_after_abandonment(
     finished_attempts: u32,
     class: ClassId,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn balancer_takes_no_further_action_for_an_abandoned_request() {
+fn decision_module_only_cancels_the_attempt_of_an_abandoned_request() {
     let classes_and_outcomes = (0..5).flat_map(|class| OUTCOMES.map(|outcome| (ClassId(class), outcome)));
     for (class, outcome) in classes_and_outcomes {
         for last_outcome in OUTCOMES {
@@ -101,7 +101,7 @@
 /// A shell that is ready to send SIGSTOP to the sidecar, which avoids the time to start `kill` at that moment.
 struct PreparedPause {
     shell: Child,
-    /// The path of the sidecar's `/proc` status line, which shows when it is stopped.
+    /// The path of the sidecar's `/proc` status, which shows whether it is stopped.
     stat_path: String,
 }
 
@@ -150,6 +150,9 @@
     kinds.into_iter().flat_map(|how| pipelined.clone().map(|bytes| (how, bytes))).collect()
 }
 
+/// The number of [`immediate_disconnect_cases`]; as many clients cover all of them.
+const DISCONNECT_CASE_COUNT: usize = 9;
+
 /// New clients that have each sent a fetch.
 fn clients_with_open_request(sidecar: &Sidecar, count: usize) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..count).map(|_| Client::connect(sidecar.address)).collect();
@@ -208,9 +211,9 @@
 }
 
 /// Disconnects `total` clients while the sidecar is paused, and asserts that no fetch is sent afterwards. `in_flight` of
-/// them have sent their requests `attempt_age` before the pause, and `end_attempts` ends their first attempts during the
-/// pause. The others have only just sent theirs. On a busy machine an attempt may end before the pause; such rounds are
-/// repeated.
+/// them have sent their requests `attempt_age` before the pause, and `end_attempts` ends their first attempts during
+/// the pause. The others have only just sent theirs. On a busy machine an attempt may end before the pause; such rounds
+/// are repeated.
 fn assert_no_send_after_disconnects(
     settings: &str,
     in_flight: usize,
@@ -219,7 +222,7 @@
     on_fetch: fn(&AtomicUsize) -> Behaviour,
     end_attempts: impl Fn(&AtomicUsize),
 ) {
-    wait_until("a round is valid", || {
+    wait_until("a round is paused between the arrival and the end of the attempts", || {
         let received = RequestLog::default();
         let released = Arc::new(AtomicUsize::new(0));
         let response_released = released.clone();
@@ -235,13 +238,13 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         std::thread::sleep(attempt_age.saturating_sub(sent_at.elapsed()));
-        let (_half_open, before) = while_paused(&sidecar, pause, &received, || {
+        let (_half_closed, before) = while_paused(&sidecar, pause, &received, || {
             idle.iter_mut().for_each(|client| client.send("fetch", 60_000));
             leaving.append(&mut idle);
             leaving.extend(clients_with_open_request(&sidecar, total - leaving.len()));
-            let half_open = disconnect_all(leaving);
+            let half_closed = disconnect_all(leaving);
             end_attempts(&released);
-            half_open
+            half_closed
         });
         // The sidecar has handled the disconnects once it answers a later request, with whatever status.
         Client::connect(sidecar.address).exchange("log");
@@ -259,7 +262,14 @@
     let with_concurrent_attempts =
         SETTINGS_JSON.replace(r#""may_duplicate":false"#, r#""may_duplicate":true"#);
     for settings in [SETTINGS_JSON, &with_concurrent_attempts] {
-        assert_no_send_after_disconnects(settings, 9, 9, NEARLY_TIMED_OUT, |_| Behaviour::NoResponse, |_| {});
+        assert_no_send_after_disconnects(
+            settings,
+            DISCONNECT_CASE_COUNT,
+            DISCONNECT_CASE_COUNT,
+            NEARLY_TIMED_OUT,
+            |_| Behaviour::NoResponse,
+            |_| {},
+        );
     }
 }
 
@@ -295,9 +305,14 @@
         },
     ];
     for failure in failures {
-        assert_no_send_after_disconnects(SETTINGS_JSON, 9, 9, Duration::ZERO, failure, |released| {
-            released.store(1, Ordering::SeqCst)
-        });
+        assert_no_send_after_disconnects(
+            SETTINGS_JSON,
+            DISCONNECT_CASE_COUNT,
+            DISCONNECT_CASE_COUNT,
+            Duration::ZERO,
+            failure,
+            |released| released.store(1, Ordering::SeqCst),
+        );
     }
 }
 
@@ -334,10 +349,10 @@
     for (how, pipelined) in immediate_disconnect_cases() {
         let received = RequestLog::default();
         let upstreams = start_upstreams(&received, || Behaviour::ok("served"));
-        wait_until("a round is valid", || {
+        wait_until("a round is paused before the fetch is sent", || {
             let WaitingRequest { sidecar, _discovery, mut first_client, client, pause, fetches_before } =
                 start_waiting_request(&received, &upstreams[0], &settings);
-            let (_half_open, fetches_at_resume) =
+            let (_half_closed, fetches_at_resume) =
                 while_paused(&sidecar, pause, &received, || disconnect(client, how, pipelined.as_bytes()));
             assert_eq!(first_client.exchange("bill").status(), 200);
             std::thread::sleep(Duration::from_millis(50));
@@ -357,7 +372,7 @@
     let settings = SETTINGS_JSON.replace(r#""probes":true"#, r#""probes":false"#);
     let received = RequestLog::default();
     let upstreams = start_upstreams(&received, || Behaviour::ok("served"));
-    wait_until("a round is valid", || {
+    wait_until("a round is paused before the fetch is sent", || {
         let WaitingRequest {
             sidecar,
             _discovery,
@@ -387,21 +402,22 @@
         &long_timeout_settings_json(),
     ));
     sidecar.wait_until_up();
-    let clients = clients_with_open_request(&sidecar, 9);
+    let clients = clients_with_open_request(&sidecar, DISCONNECT_CASE_COUNT);
     // Time to start connecting; otherwise the test would pass without testing anything.
     std::thread::sleep(Duration::from_millis(300));
     let pause = PreparedPause::new(&sidecar);
-    let ((_half_open, requests_received), _) = while_paused(&sidecar, pause, &RequestLog::default(), || {
-        let half_open = disconnect_all(clients);
-        let requests_received = upstream.start_accepting("fetch");
-        // The kernel retries to connect after 1 and 3 s.
-        std::thread::sleep(Duration::from_millis(3_200));
-        (half_open, requests_received)
-    });
+    let ((_half_closed, requests_received), _) =
+        while_paused(&sidecar, pause, &RequestLog::default(), || {
+            let half_closed = disconnect_all(clients);
+            let requests_received = upstream.start_accepting("fetch");
+            // The kernel retries to connect after 1 and 3 s.
+            std::thread::sleep(Duration::from_millis(3_200));
+            (half_closed, requests_received)
+        });
     // The sidecar has handled the disconnects once it answers a later request, with whatever status.
     Client::connect(sidecar.address).exchange("bill");
     std::thread::sleep(ARRIVAL_TIME);
-    assert_eq!(requests_received.load(Ordering::SeqCst), 0);
+    assert_eq!(requests_received.load(Ordering::SeqCst), 0, "sent after the client disconnected");
 }
 
 #[test]
@@ -418,13 +434,13 @@
         let pause = PreparedPause::new(&sidecar);
         last_clients.iter_mut().for_each(|client| client.send("fetch", 60_000));
         last_clients.iter_mut().for_each(|client| drop(client.read()));
-        let (_half_open, before) = while_paused(&sidecar, pause, &received, || {
+        let (_half_closed, before) = while_paused(&sidecar, pause, &received, || {
             leaving.extend((0..100).map(|_| Client::connect(sidecar.address)));
             leaving.iter_mut().for_each(|client| client.send("fetch", 60_000));
             disconnect_all(leaving)
         });
         assert_eq!(Client::connect(sidecar.address).exchange("log").status(), 200);
         std::thread::sleep(ARRIVAL_TIME);
-        assert_eq!(count_received(&received, "fetch"), before);
+        assert_eq!(count_received(&received, "fetch"), before, "sent after the client disconnected");
     }
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -14,7 +14,7 @@
 /// The time within which a new client must get a response or a close.
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
 /// The time within which a change must be applied once discovery responds again.
-const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 
 /// A discovery server that can be made unresponsive: it then accepts calls and never responds to them.
 struct InterruptibleDiscovery {
@@ -62,6 +62,7 @@
         discovery
     }
 
+    /// Responds to later calls.
     fn resume(&self) {
         self.responsive.store(true, Ordering::SeqCst);
     }
@@ -149,8 +150,8 @@
     }
 }
 
-/// With a configured and an actual descriptor limit, changes are applied once discovery is responsive: after it was
-/// unresponsive from the start, after an interruption, and at a new address.
+/// Checks that, with a configured and an actual descriptor limit, changes are applied once discovery is responsive:
+/// after it was unresponsive from the start, after an interruption, and at a new address.
 fn assert_discovery_recovers(configured_limit: usize, actual_limit: usize) {
     for settings in settings_per_membership_mode() {
         let [a, b, c, d] = [0; 4].map(|_| Upstream::new(|_| Behaviour::ok("served")));
@@ -170,7 +171,7 @@
         let served = (0..20).filter(|_| request_status(sidecar.address) == Some(200)).count();
         assert!(served >= 10, "{served} of 20 new clients were served: {:?}", sidecar.log.lock().unwrap());
         discovery.resume();
-        assert_served_by(&sidecar, &b, Instant::now() + MAX_DISCOVERY_DELAY);
+        assert_served_by(&sidecar, &b, Instant::now() + UPDATE_DEADLINE);
         discovery.interrupt();
         std::thread::sleep(Duration::from_millis(2_000));
         let next = InterruptibleDiscovery::start_unresponsive(host_list(
@@ -181,7 +182,7 @@
         sidecar.reload(&config(next.address, "null"));
         std::thread::sleep(Duration::from_millis(2_000));
         next.resume();
-        assert_served_by(&sidecar, &c, Instant::now() + MAX_DISCOVERY_DELAY);
+        assert_served_by(&sidecar, &c, Instant::now() + UPDATE_DEADLINE);
         let last = InterruptibleDiscovery::start_unresponsive(host_list(
             8,
             true,
@@ -189,7 +190,7 @@
         ));
         last.resume();
         sidecar.reload(&config(last.address, "null"));
-        assert_served_by(&sidecar, &d, Instant::now() + MAX_DISCOVERY_DELAY);
+        assert_served_by(&sidecar, &d, Instant::now() + UPDATE_DEADLINE);
         drop(idle_clients);
         assert_running_without_panic(&mut sidecar);
     }
@@ -334,5 +335,5 @@
     );
     let blames_upstream = |line: &&String| line.contains("ejected") || line.contains("cannot connect");
     assert_eq!(log.iter().find(blames_upstream), None);
-    assert!(served >= 100, "{served} of 300 were served");
+    assert!(served >= 100, "{served} of 300 requests were served");
 }
--- a/tests/discovery_retries.rs
+++ b/tests/discovery_retries.rs
@@ -17,9 +17,9 @@
 };
 use sagemast::api::*;
 
-/// Time in which a change must be in force once discovery has it and can be reached.
+/// The time within which a change must be applied once discovery responds again.
 const UPDATE_DEADLINE: Millis = 6_000.0;
-/// Call timeout of the sidecar.
+/// The time after which the sidecar abandons an unanswered call.
 const CALL_TIMEOUT: Millis = 2_500.0;
 
 /// A balancer that subscribes to discovery itself and has received one snapshot.
@@ -59,7 +59,7 @@
             let third_call_after = CALL_TIMEOUT + fail_call(&mut harness) + fail_call(&mut harness);
             assert!(
                 third_call_after < UPDATE_DEADLINE - 400.0,
-                "must_ask_in {subscribe_within} ms, seed {seed}: {third_call_after}"
+                "subscribe within {subscribe_within} ms, seed {seed}: third call after {third_call_after} ms"
             );
         }
     }
@@ -76,7 +76,7 @@
             longest.iter_mut().for_each(|longest| *longest = longest.max(fail_call(&mut harness)));
         }
         let within_bounds = longest.iter().zip(max_waits).all(|(wait, max)| (0.9 * max..max).contains(wait));
-        assert!(within_bounds, "must_ask_in {subscribe_within} ms: {longest:?}");
+        assert!(within_bounds, "subscribe within {subscribe_within} ms, longest waits: {longest:?}");
     }
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// How discovery fails a call.
+/// How a discovery server fails a call.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     /// Reads the request and sends nothing.
@@ -117,7 +117,7 @@
     HeaderOnly,
 }
 
-/// A discovery that fails all calls until it recovers.
+/// A discovery server that fails all calls until it recovers.
 struct FailingDiscovery {
     address: SocketAddr,
     recovered: Arc<AtomicBool>,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Answers one call: with `failure`, or with the list and an empty line per second.
+/// Answers one call: with `failure`, or with the host list and an empty line per second.
 fn answer_watch(mut stream: TcpStream, failure: Option<Failure>, list: &str, watches_served: &AtomicUsize) {
     let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
     if read_message(&mut reader).is_none() {
@@ -177,8 +177,16 @@
     let _ = read_message(&mut reader);
 }
 
+/// A kind of failure under one variant of the settings.
+struct FailureCase<'a> {
+    settings_name: &'a str,
+    settings: &'a str,
+    failure: Failure,
+    discovery: FailingDiscovery,
+}
+
 #[test]
-fn change_is_in_force_in_time_after_every_kind_of_failure() {
+fn change_is_applied_in_time_after_every_kind_of_failure() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
     let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
     let subscribe_settings = |subscribe_within: &str| {
@@ -188,43 +196,43 @@
             .replace(r#""drain_grace":2000.0"#, r#""drain_grace":5000.0"#)
     };
     let settings_variants = [
-        SETTINGS_JSON.to_owned(),
-        subscribe_settings("400.0"),
-        subscribe_settings("10000.0"),
-        subscribe_settings("60000.0"),
+        ("automatic", SETTINGS_JSON.to_owned()),
+        ("subscribe within 400 ms", subscribe_settings("400.0")),
+        ("subscribe within 10 s", subscribe_settings("10000.0")),
+        ("subscribe within 60 s", subscribe_settings("60000.0")),
     ];
     let failures = [Failure::NoResponse, Failure::Unavailable, Failure::Close, Failure::HeaderOnly];
-    let cases: Vec<(&str, Failure, FailingDiscovery)> = settings_variants
+    let cases: Vec<FailureCase> = settings_variants
         .iter()
-        .flat_map(|settings| {
-            failures.map(|failure| (settings.as_str(), failure, FailingDiscovery::new(failure, list.clone())))
+        .flat_map(|(settings_name, settings)| {
+            failures.map(|failure| FailureCase {
+                settings_name,
+                settings,
+                failure,
+                discovery: FailingDiscovery::new(failure, list.clone()),
+            })
         })
         .collect();
     const SIDECARS_PER_CASE: usize = 3;
     let sidecars: Vec<Sidecar> = cases
         .iter()
-        .flat_map(|(settings, _, discovery)| {
-            (0..SIDECARS_PER_CASE).map(|number| (*settings, discovery.address, number))
-        })
+        .flat_map(|case| (0..SIDECARS_PER_CASE).map(|number| (case.settings, case.discovery.address, number)))
         .map(|(settings, address, number)| {
             let config = config_json("127.0.0.1:0", address, &ready_hosts(&[&a]), 1024, settings);
+            // Another seed for each sidecar.
             Sidecar::start(&config.replace("8c1f30d27a5be964", &format!("{}7", number + 1)))
         })
         .collect();
     sidecars.iter().for_each(Sidecar::wait_until_up);
     // Long enough for several failed calls of each sidecar.
     std::thread::sleep(Duration::from_millis(5_500));
-    cases.iter().for_each(|(_, _, discovery)| discovery.recovered.store(true, Ordering::SeqCst));
+    cases.iter().for_each(|case| case.discovery.recovered.store(true, Ordering::SeqCst));
     let start = Instant::now();
-    let incomplete = |(_, failure, discovery): &&(&str, Failure, FailingDiscovery)| {
-        (discovery.watches_served.load(Ordering::SeqCst) < SIDECARS_PER_CASE).then_some(*failure).is_some()
-    };
+    let incomplete =
+        |case: &&FailureCase| case.discovery.watches_served.load(Ordering::SeqCst) < SIDECARS_PER_CASE;
     while cases.iter().any(|case| incomplete(&case)) {
-        let late_cases: Vec<_> = cases
-            .iter()
-            .filter(incomplete)
-            .map(|(settings, failure, discovery)| (failure, settings.len(), discovery.address))
-            .collect();
+        let late_cases: Vec<_> =
+            cases.iter().filter(incomplete).map(|case| (case.settings_name, case.failure)).collect();
         assert!(
             start.elapsed() < Duration::from_millis(UPDATE_DEADLINE as u64),
             "the list was not delivered in time: {late_cases:?}"
@@ -241,7 +249,8 @@
     assert!(start.elapsed() < WAIT_TIMEOUT);
 }
 
-/// A discovery that accepts calls and never answers; also returns the times at which they arrived.
+/// Starts a discovery server that accepts calls and never answers. Returns its address and the arrival times of the
+/// calls.
 fn unresponsive_discovery() -> (SocketAddr, Arc<Mutex<Vec<Instant>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -273,7 +282,8 @@
     assert!(short_gaps >= 3 && gaps.len() - short_gaps >= 3, "{gaps:?}");
 }
 
-/// A short drain grace makes calls frequent. Guards against cancelling each call before a slow discovery answers it.
+/// A short drain grace makes calls frequent. Guards against cancelling each call before a slow discovery server answers
+/// it.
 #[test]
 fn discovery_slower_than_the_retry_interval_can_answer() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
@@ -302,7 +312,7 @@
 /// After SIGHUP the sidecar retries the new address until it answers. A watch that the decision module requests
 /// meanwhile must not replace these calls with a single one that times out only after 2.5 s.
 #[test]
-fn module_request_does_not_replace_the_calls_after_sighup() {
+fn watch_request_of_the_decision_module_does_not_replace_the_calls_after_sighup() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| loopback::Behaviour::ok("served")));
     let list = host_list(9, true, &[host_entry("b", b.address, "ready")]);
     let settings = SETTINGS_JSON.replace("automatic", "subscribe");
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -12,6 +12,8 @@
 
 use socket2::SockRef;
 
+/// Number of bytes in the longest request or response body that the sidecar forwards.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Upper bound on every wait in these tests; reaching it fails the test.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -42,6 +44,7 @@
         self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
+    /// The status code of a response; 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
@@ -55,6 +58,7 @@
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
+        // The empty line ends the headers.
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         message.headers.push((name.to_owned(), value.trim().to_owned()));
     }
@@ -90,33 +94,43 @@
 }
 
 impl Behaviour {
+    /// A response with status 200.
     pub fn ok(body: &str) -> Behaviour {
         Behaviour::Respond(200, "", body.as_bytes().to_vec())
     }
 }
 
+/// What an upstream has received so far.
 #[derive(Default)]
-struct Log {
+struct UpstreamLog {
     requests: Mutex<Vec<Message>>,
-    /// Connections closed by the peer: index of the connection, sequence number of the close.
-    closed: Mutex<Vec<(usize, u64)>>,
+    closed: Mutex<Vec<ConnectionClose>>,
+    /// Number of accepted connections.
     connections: AtomicUsize,
 }
 
-/// Orders requests and closes over all upstreams of the test process.
+/// A close of a connection by the peer.
+struct ConnectionClose {
+    connection: usize,
+    sequence: u64,
+}
+
+/// Orders requests and closes of connections over all upstreams of the test process.
 static NEXT_SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
 /// An upstream that listens on an ephemeral loopback port.
 pub struct Upstream {
     pub address: SocketAddr,
-    log: Arc<Log>,
+    log: Arc<UpstreamLog>,
 }
 
 impl Upstream {
+    /// Starts an upstream that handles each request with the behaviour that this function returns for it, and answers
+    /// load probes itself.
     pub fn new(behaviour: impl Fn(&Message) -> Behaviour + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let log = Arc::new(Log::default());
+        let log = Arc::new(UpstreamLog::default());
         let (behaviour, server_log) = (Arc::new(behaviour), log.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -132,6 +146,7 @@
         self.log.requests.lock().unwrap().clone()
     }
 
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.log.connections.load(Ordering::SeqCst)
     }
@@ -143,12 +158,13 @@
             .lock()
             .unwrap()
             .iter()
-            .find(|(index, _)| *index == connection)
-            .map(|(_, sequence)| *sequence)
+            .find(|close| close.connection == connection)
+            .map(|close| close.sequence)
     }
 }
 
-fn serve(stream: TcpStream, behaviour: &dyn Fn(&Message) -> Behaviour, log: &Log) {
+/// Handles the requests on one connection until it closes.
+fn serve(stream: TcpStream, behaviour: &dyn Fn(&Message) -> Behaviour, log: &UpstreamLog) {
     let connection = log.connections.fetch_add(1, Ordering::SeqCst);
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
@@ -204,9 +220,13 @@
             }
         }
     }
-    log.closed.lock().unwrap().push((connection, NEXT_SEQUENCE.fetch_add(1, Ordering::SeqCst)));
+    let sequence = NEXT_SEQUENCE.fetch_add(1, Ordering::SeqCst);
+    log.closed.lock().unwrap().push(ConnectionClose { connection, sequence });
 }
 
+/// Interval between the empty lines that [`Discovery`] sends on an idle watch.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+
 /// A discovery server. It serves one watch at a time and sends the chunks that the test queues.
 pub struct Discovery {
     pub address: SocketAddr,
@@ -216,7 +236,7 @@
 }
 
 impl Discovery {
-    /// Starts a server that begins every watch with this list.
+    /// Starts a server that begins every watch with this host list.
     pub fn new(initial_list: &str) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -231,7 +251,7 @@
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 let _ = write_chunk(&mut stream, format!("{initial_list}\n").as_bytes());
                 loop {
-                    match queued_chunks.recv_timeout(Duration::from_millis(300)) {
+                    match queued_chunks.recv_timeout(HEARTBEAT_INTERVAL) {
                         Ok(Some(bytes)) => drop(write_chunk(&mut stream, &bytes)),
                         // The test closes the watch.
                         Ok(None) => break,
@@ -263,25 +283,26 @@
     }
 }
 
+/// Writes a chunk of a body with chunked transfer encoding.
 fn write_chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n", bytes.len()).as_bytes())?;
     stream.write_all(bytes)?;
     stream.write_all(b"\r\n")
 }
 
-/// An entry of a host list in the JSON of discovery.
+/// An entry of a host list in the JSON of discovery. All entries share a zone and a cell.
 pub fn host_entry(host: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"east","class":"std","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A host list in the JSON of discovery: complete if `whole`, otherwise a change.
+/// A host list of version `seq` in the JSON of discovery: a snapshot if `whole`, otherwise a delta.
 pub fn host_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// A complete host list of ready upstreams named a, b, c and so on.
+/// A snapshot, of version 5, of ready upstreams named a, b, c and so on.
 pub fn ready_hosts(upstreams: &[&Upstream]) -> String {
     let name = |index: usize| char::from(b'a' + index as u8).to_string();
     let entries: Vec<String> = upstreams
@@ -292,7 +313,8 @@
     host_list(5, true, &entries)
 }
 
-/// Default settings in wire format. All servers share a cell.
+/// Default settings in wire format. The classes are idempotent (`fetch`), keyed per cell (`log`) and non-idempotent
+/// (`bill`).
 pub const SETTINGS_JSON: &str = r#"{"allowed":{"cancel":true,"connect_timeout":2000.0,"keepalive":60000.0,
 "max_attempts":4,"max_retry_after":600.0,"may_duplicate":false,"multiplex":1,"probes":true,"retry_after":true},
 "azs":["east","west"],"classes":[
@@ -304,7 +326,8 @@
 "membership_mode":"automatic","peers_total":3,"period":5.0,"rank":0,
 "telemetry":{"columns":["inflight","eps","util"],"how":"pull"},"tenants":[],"weights":"rough","zone":0}"#;
 
-/// Content of a configuration file. `known` is a host list in the JSON of discovery, or `null`.
+/// Content of a configuration file. `known` is the last known host list in the JSON of discovery, or `null`; `sockets`
+/// is the limit on open file descriptors.
 pub fn config_json(
     listen: &str,
     discovery: SocketAddr,
@@ -318,7 +341,7 @@
     )
 }
 
-/// A running `sagemast` process. It is killed on drop.
+/// A running `sagemast` process that listens. It is killed on drop.
 pub struct Sidecar {
     pub child: Child,
     pub config_path: PathBuf,
@@ -329,7 +352,7 @@
 
 static NEXT_CONFIG_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// Starts the program with this configuration and standard error piped.
+/// Starts the program with this configuration and standard error piped. The caller must end the process.
 pub fn spawn_sidecar(config: &str) -> Child {
     spawn_with_descriptor_limit(config, None).0
 }
@@ -397,7 +420,9 @@
 
     /// Waits until a log line contains this text.
     pub fn wait_for_log(&self, text: &str) {
-        wait_until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
+        wait_until(&format!("the log contains {text:?}"), || {
+            self.log.lock().unwrap().iter().any(|line| line.contains(text))
+        });
     }
 
     /// Replaces the configuration file atomically and sends SIGHUP.
@@ -418,9 +443,13 @@
     /// Sends a signal, named as an option of `kill`, such as `-HUP`.
     pub fn signal(&self, option: &str) {
         let process_id = self.child.id().to_string();
-        assert!(Command::new("kill").args([option, &process_id]).status().unwrap().success());
+        assert!(
+            Command::new("kill").args([option, &process_id]).status().unwrap().success(),
+            "kill {option} {process_id} failed"
+        );
     }
 
+    /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until("the sidecar exits", || {
@@ -450,6 +479,7 @@
         Client { reader: BufReader::new(stream) }
     }
 
+    /// Writes bytes; ignores an error if the sidecar has closed the connection.
     pub fn write(&mut self, text: &[u8]) {
         match self.reader.get_mut().write_all(text) {
             Ok(()) => {}
@@ -459,6 +489,7 @@
         }
     }
 
+    /// Reads one response. `None` if the connection ends or fails before it is complete.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
@@ -473,6 +504,7 @@
         }
     }
 
+    /// Sends a GET request for one of the sidecar's own paths and reads its response.
     pub fn get(&mut self, path: &str) -> Option<Message> {
         self.write(format!("GET {path} HTTP/1.1\r\nHost: api.internal\r\n\r\n").as_bytes());
         self.read()
@@ -483,7 +515,7 @@
         self.write(http_request(class, timeout_ms).as_bytes());
     }
 
-    /// Sends a request of a class and reads its response.
+    /// Sends a request of a class, with a timeout of 6 s, and reads its response.
     pub fn exchange(&mut self, class: &str) -> Message {
         self.send(class, 6_000);
         self.read().expect("a complete response")
@@ -492,7 +524,7 @@
 
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The text of a complete request of class `fetch`, `log` or `bill`.
+/// The text of a complete request of class `fetch`, `log` or `bill`, with a new request id.
 pub fn http_request(class: &str, timeout_ms: u64) -> String {
     let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst);
     let (method, key, body) = match class {
@@ -565,6 +597,7 @@
 }
 
 impl FullAcceptQueue {
+    /// Starts a listener and fills its accept queue, which holds one connection more than the backlog of 1.
     pub fn new() -> FullAcceptQueue {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
@@ -577,7 +610,7 @@
         FullAcceptQueue { listener, queue: [0, 1].map(|_| TcpStream::connect(address).unwrap()).into() }
     }
 
-    /// Accepts connections and answers every request; returns a counter of the requests of a class.
+    /// Accepts connections and answers every request with status 200; returns a counter of the requests of a class.
     pub fn start_accepting(self, class: &'static str) -> Arc<AtomicUsize> {
         let request_count = Arc::new(AtomicUsize::new(0));
         let counter = request_count.clone();
@@ -600,7 +633,7 @@
     }
 }
 
-/// Default settings with a connect timeout of 25 s and an aim of 60 s, which do not expire during a test.
+/// Default settings with a connect timeout of 25 s and a latency target of 60 s, which do not expire during a test.
 pub fn long_timeout_settings_json() -> String {
     SETTINGS_JSON
         .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":25000.0"#)
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -20,7 +20,7 @@
         // The timeout exceeds the duration of the test, so only the disconnect can end the attempt.
         client.send("bill", 600_000);
         wait_until("the request has arrived", || silent.requests().len() == 1);
-        let _half_open = disconnect_after_write(client, how, &pipelined);
+        let _half_closed = disconnect_after_write(client, how, &pipelined);
         let connection = silent.requests()[0].connection;
         wait_until(&format!("the attempt is cancelled after {how:?}"), || {
             silent.close_sequence(connection).is_some()
@@ -43,7 +43,7 @@
         let fetch_count =
             || silent.iter().map(|upstream| count_requests_of_class(upstream, "fetch")).sum::<usize>();
         wait_until("the request has arrived", || fetch_count() == 1);
-        let _half_open = disconnect_after_write(client, how, &pipelined);
+        let _half_closed = disconnect_after_write(client, how, &pipelined);
         let attempted = silent.iter().find(|upstream| !upstream.requests().is_empty()).unwrap();
         let connection = attempted.requests()[0].connection;
         wait_until(&format!("the attempt is cancelled after {how:?}"), || {
@@ -70,11 +70,11 @@
         &long_timeout_settings_json(),
     ));
     sidecar.wait_until_up();
-    let mut half_open = Vec::new();
+    let mut half_closed = Vec::new();
     for (how, pipelined) in disconnect_cases() {
         let mut client = Client::connect(sidecar.address);
         client.send("bill", 600_000);
-        half_open.push(disconnect_after_write(client, how, &pipelined));
+        half_closed.push(disconnect_after_write(client, how, &pipelined));
     }
     let mut other_client = Client::connect(sidecar.address);
     other_client.send("log", 600_000);
@@ -104,7 +104,7 @@
     let mut client = Client::connect(sidecar.address);
     // On a busy machine the second response may be delayed for longer than intended; such rounds do not count.
     let mut valid_rounds = 0;
-    wait_until("enough rounds were valid", || {
+    wait_until("40 rounds had a short enough delay", || {
         assert_eq!(client.exchange("bill").body, b"first");
         let next_body = client.exchange("bill").body;
         if measured_delays.recv().unwrap() < Duration::from_millis(7) {
@@ -115,6 +115,9 @@
     });
 }
 
+/// The time within which a change must be applied once discovery responds again.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+
 /// A step of a scripted watch. After the last step the server sends nothing and waits until the peer closes.
 #[derive(Clone)]
 enum WatchStep {
@@ -126,7 +129,7 @@
     Close,
 }
 
-/// A discovery server that runs the first script on its first connection and so on. The last script is repeated.
+/// A discovery server that runs one script per connection, in this order. Further connections run the last script.
 struct ScriptedDiscovery {
     address: SocketAddr,
     /// The request lines of all watches so far.
@@ -180,7 +183,7 @@
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
-/// A watch that sends this chunk and then blank lines as heartbeats.
+/// A watch that sends this chunk and then empty lines as heartbeats.
 fn healthy_watch(text: &str) -> [WatchStep; 3] {
     [WatchStep::SendHead, WatchStep::SendChunk(text.to_owned()), WatchStep::RepeatChunk("\n")]
 }
@@ -189,6 +192,7 @@
     serde_json::to_string_pretty(&serde_json::from_str::<serde_json::Value>(text).unwrap()).unwrap()
 }
 
+/// Starts a sidecar with these known upstreams and waits until it is up.
 fn start_sidecar(discovery: &ScriptedDiscovery, known: &[&Upstream], settings: &str) -> Sidecar {
     let text = config_json("127.0.0.1:0", discovery.address, &ready_hosts(known), 1024, settings);
     let sidecar = Sidecar::start(&text);
@@ -207,15 +211,15 @@
 #[test]
 fn host_lists_are_parsed_regardless_of_whitespace() {
     let [a, b, c] = [0, 1, 2].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-    let full_list =
+    let snapshot =
         host_list(6, true, &[host_entry("a", a.address, "ready"), host_entry("b", b.address, "ready")]);
-    // A list and three changes in one chunk, separated by blank lines, by a line break and not at all.
-    let changes = [
+    // A snapshot and three deltas in one chunk, separated by empty lines, by a line break and not at all.
+    let deltas = [
         pretty_json(&host_list(7, false, &[host_entry("a", a.address, "draining")])),
         pretty_json(&host_list(8, false, &[host_entry("c", c.address, "ready")])),
         host_list(9, false, &[host_entry("b", b.address, "draining")]),
     ];
-    let text = format!("{}\n\n\n{}\r\n{}{}", pretty_json(&full_list), changes[0], changes[1], changes[2]);
+    let text = format!("{}\n\n\n{}\r\n{}{}", pretty_json(&snapshot), deltas[0], deltas[1], deltas[2]);
     let discovery = ScriptedDiscovery::new(&[&healthy_watch(&text)]);
     let sidecar = start_sidecar(&discovery, &[&a], SETTINGS_JSON);
     wait_until_served_by(&sidecar, &c);
@@ -223,10 +227,10 @@
     let before = a.requests().len() + b.requests().len();
     (0..40).for_each(|_| drop(client.exchange("fetch")));
     assert_eq!(a.requests().len() + b.requests().len(), before, "draining upstreams get no requests");
-    assert_eq!(discovery.watches().len(), 1);
+    assert_eq!(discovery.watches().len(), 1, "a readable list must not end the watch");
 }
 
-/// Watches that stay open but never deliver this list.
+/// Watches that stay open but never deliver this host list.
 fn stalled_watches(list: &str) -> [Vec<WatchStep>; 5] {
     let part = &list[..list.len() / 2];
     [
@@ -244,12 +248,12 @@
         [(SETTINGS_JSON.to_owned(), 2), (SETTINGS_JSON.replace("automatic", "subscribe"), 1)]
     {
         let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-        let change = host_list(9, false, &[host_entry("b", b.address, "ready")]);
-        // `hanging_calls` calls hang before one is answered; the missed change must be applied within 6 s.
-        let servers = stalled_watches(&change).map(|stalled_watch| {
+        let delta = host_list(9, false, &[host_entry("b", b.address, "ready")]);
+        // `hanging_calls` calls hang before one is answered; the missed delta must be applied in time.
+        let servers = stalled_watches(&delta).map(|stalled_watch| {
             let mut scripts: Vec<Vec<WatchStep>> = vec![stalled_watch];
             scripts.extend(vec![vec![]; hanging_calls]);
-            scripts.push(healthy_watch(&change).into());
+            scripts.push(healthy_watch(&delta).into());
             ScriptedDiscovery::new(&scripts.iter().map(Vec::as_slice).collect::<Vec<_>>())
         });
         let sidecars = servers.each_ref().map(|discovery| start_sidecar(discovery, &[&a], &settings));
@@ -260,7 +264,7 @@
         wait_until("every sidecar watches again", || {
             servers.iter().all(|discovery| discovery.watches().len() > hanging_calls + 1)
         });
-        assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
+        assert!(start.elapsed() < UPDATE_DEADLINE, "{:?}", start.elapsed());
         for sidecar in &sidecars {
             let before = b.requests().len();
             let mut client = Client::connect(sidecar.address);
@@ -272,20 +276,20 @@
 }
 
 #[test]
-fn unreadable_host_list_triggers_a_full_fetch() {
+fn unreadable_host_list_triggers_a_request_for_a_snapshot() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let broken = host_list(
         6,
         false,
         &[host_entry("a", a.address, "draining"), host_entry("b", b.address, "gibberish")],
     );
-    let full_list =
+    let snapshot =
         host_list(6, true, &[host_entry("a", a.address, "draining"), host_entry("b", b.address, "ready")]);
-    // An unreadable entry in a change and in a complete list, and input that is neither.
+    // An unreadable entry in a delta and in a snapshot, and input that is neither.
     for unreadable in
         [broken.clone(), broken.replace("false", "true"), "gibberish".to_owned(), "7\n".to_owned()]
     {
-        let discovery = ScriptedDiscovery::new(&[&healthy_watch(&unreadable), &healthy_watch(&full_list)]);
+        let discovery = ScriptedDiscovery::new(&[&healthy_watch(&unreadable), &healthy_watch(&snapshot)]);
         let sidecar = start_sidecar(&discovery, &[&a], SETTINGS_JSON);
         let before = b.requests().len();
         let mut client = Client::connect(sidecar.address);
@@ -297,18 +301,18 @@
 }
 
 #[test]
-fn change_with_an_older_version_is_not_applied() {
+fn delta_with_an_older_version_is_not_applied() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-    let full_list =
+    let snapshot =
         host_list(9, true, &[host_entry("a", a.address, "draining"), host_entry("b", b.address, "ready")]);
     let older =
         host_list(7, false, &[host_entry("a", a.address, "ready"), host_entry("b", b.address, "draining")]);
     let discovery = ScriptedDiscovery::new(&[
-        &healthy_watch(&format!("{full_list}\n{older}\n")),
-        &healthy_watch(&full_list),
+        &healthy_watch(&format!("{snapshot}\n{older}\n")),
+        &healthy_watch(&snapshot),
     ]);
     let sidecar = start_sidecar(&discovery, &[&a], SETTINGS_JSON);
-    wait_until("the complete list is requested", || {
+    wait_until("the sidecar requests a snapshot", || {
         discovery.watches().iter().any(|watch| watch.contains("from=0 "))
     });
     wait_until_served_by(&sidecar, &b);
@@ -321,9 +325,8 @@
 #[test]
 fn new_watch_resumes_from_the_last_applied_version() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-    let full_list = host_list(9, true, &[host_entry("a", a.address, "ready")]);
-    let closed_watch =
-        [WatchStep::SendHead, WatchStep::SendChunk(format!("{full_list}\n")), WatchStep::Close];
+    let snapshot = host_list(9, true, &[host_entry("a", a.address, "ready")]);
+    let closed_watch = [WatchStep::SendHead, WatchStep::SendChunk(format!("{snapshot}\n")), WatchStep::Close];
     let discovery = ScriptedDiscovery::new(&[
         &closed_watch,
         &healthy_watch(&host_list(10, false, &[host_entry("b", b.address, "ready")])),
@@ -337,22 +340,22 @@
 fn new_discovery_after_sighup_is_reached_in_time_despite_hanging_calls() {
     for settings in [SETTINGS_JSON.to_owned(), SETTINGS_JSON.replace("automatic", "subscribe")] {
         let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-        let old = ScriptedDiscovery::new(&[&healthy_watch(&ready_hosts(&[&a]))]);
-        let sidecar = start_sidecar(&old, &[&a], &settings);
-        wait_until("the sidecar watches", || !old.watches().is_empty());
-        let change = healthy_watch(&host_list(9, false, &[host_entry("b", b.address, "ready")]));
-        let new = ScriptedDiscovery::new(&[&[], &[], &change]);
-        sidecar.reload(&config_json("127.0.0.1:0", new.address, "null", 1024, &settings));
+        let old_discovery = ScriptedDiscovery::new(&[&healthy_watch(&ready_hosts(&[&a]))]);
+        let sidecar = start_sidecar(&old_discovery, &[&a], &settings);
+        wait_until("the sidecar watches", || !old_discovery.watches().is_empty());
+        let healthy = healthy_watch(&host_list(9, false, &[host_entry("b", b.address, "ready")]));
+        let new_discovery = ScriptedDiscovery::new(&[&[], &[], &healthy]);
+        sidecar.reload(&config_json("127.0.0.1:0", new_discovery.address, "null", 1024, &settings));
         let start = Instant::now();
-        wait_until("the sidecar watches the new discovery", || new.watches().len() > 2);
+        wait_until("the sidecar watches the new discovery", || new_discovery.watches().len() > 2);
         assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
         wait_until_served_by(&sidecar, &b);
     }
 }
 
-/// Whether a request sent to a sidecar in shutdown was answered, or was answered when it was sent again on a new
-/// connection, since the first one was closed before the request was read.
-fn answered_or_retried(client: &mut Client, address: SocketAddr) -> bool {
+/// Reads the response to a request sent to a sidecar in shutdown. If the connection is closed without a response, retries
+/// the request on a new one. Returns whether there was a response.
+fn answered_after_at_most_one_retry(client: &mut Client, address: SocketAddr) -> bool {
     let retry = || {
         let mut retry_client = Client { reader: BufReader::new(TcpStream::connect(address).ok()?) };
         retry_client.send("fetch", 6_000);
@@ -365,7 +368,7 @@
 fn requests_sent_before_sigterm_are_answered() {
     let upstream = Upstream::new(|message| {
         let large = message.start_line.contains("/log");
-        if large { Behaviour::Respond(200, "", vec![b'x'; 64 << 10]) } else { Behaviour::ok("served") }
+        if large { Behaviour::Respond(200, "", vec![b'x'; MAX_BODY_BYTES]) } else { Behaviour::ok("served") }
     });
     let (mut sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let mut idle: Vec<Client> = (0..10).map(|_| Client::connect(sidecar.address)).collect();
@@ -392,11 +395,18 @@
     partial_sender.write(rest.as_bytes());
     for client in &mut queued {
         let response = client.read().expect("a response to a client in the accept queue");
-        assert!(matches!(response.status(), 200 | 503), "neither served nor refused");
+        assert!(
+            matches!(response.status(), 200 | 503),
+            "neither served nor refused: {}",
+            response.start_line
+        );
     }
-    assert!(idle.iter_mut().all(|client| answered_or_retried(client, sidecar.address)));
+    assert!(
+        idle.iter_mut().all(|client| answered_after_at_most_one_retry(client, sidecar.address)),
+        "a request on an idle connection got no response"
+    );
     assert!(matches!(partial_sender.read().expect("a response").status(), 200 | 503));
-    assert_eq!(slow_reader.read().expect("a response").body.len(), 64 << 10);
+    assert_eq!(slow_reader.read().expect("a response").body.len(), MAX_BODY_BYTES);
     assert!(sidecar.wait_for_exit().success());
 }
 
@@ -487,9 +497,9 @@
 #[test]
 fn truncated_configuration_at_sighup_is_read_again() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
-    let (sidecar, _old) = Sidecar::for_upstreams(&[&a]);
-    let new = Discovery::new(&host_list(9, false, &[host_entry("b", b.address, "ready")]));
-    let text = config_json("127.0.0.1:0", new.address, "null", 1024, SETTINGS_JSON);
+    let (sidecar, _old_discovery) = Sidecar::for_upstreams(&[&a]);
+    let new_discovery = Discovery::new(&host_list(9, false, &[host_entry("b", b.address, "ready")]));
+    let text = config_json("127.0.0.1:0", new_discovery.address, "null", 1024, SETTINGS_JSON);
     sidecar.reload(&text[..text.len() / 2]);
     sidecar.wait_for_log("the old configuration stays");
     assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
@@ -557,9 +567,9 @@
     assert_eq!(upstream.requests().len(), 0);
 }
 
-/// After a close that follows the last byte of a request, the request may have run.
+/// The upstream closes the connection after the last byte of a request, so the request may have run.
 #[test]
-fn request_on_a_reused_connection_that_closes_is_retried_only_if_repeatable() {
+fn request_on_a_reused_connection_that_closes_is_retried_unless_non_idempotent() {
     // The first request to each upstream is answered. The first of the later ones to either upstream is read, and its
     // connection closed without a response.
     let cases = [("fetch", 200), ("log", 200), ("bill", 502)];
@@ -584,7 +594,10 @@
             last_status = client.exchange(class).status();
             close_count.load(Ordering::SeqCst) > 0
         });
-        assert_eq!(last_status, expected_status, "{class}: only repeatable requests may be retried");
+        assert_eq!(
+            last_status, expected_status,
+            "{class}: only idempotent and keyed requests may be retried"
+        );
     }
 }
 
@@ -636,7 +649,7 @@
 }
 
 #[test]
-fn restrictive_settings_are_honoured() {
+fn settings_that_forbid_retries_and_retry_after_are_honoured() {
     let silent = Upstream::new(|_| Behaviour::NoResponse);
     let settings = SETTINGS_JSON
         .replace(r#""cancel":true"#, r#""cancel":false"#)
@@ -672,8 +685,15 @@
         silent.requests().iter().map(|request| request.header("x-request-id").unwrap().to_owned()).collect();
     for (status, id) in responses {
         // A request that was sent has failed, since it may have run; others may be refused.
-        assert!(status == 502 || status == 503 && !attempted_ids.contains(&id), "{status}");
+        assert!(
+            status == 502 || status == 503 && !attempted_ids.contains(&id),
+            "status {status}, request {id}"
+        );
     }
     let distinct_ids: std::collections::HashSet<&String> = attempted_ids.iter().collect();
-    assert_eq!(distinct_ids.len(), attempted_ids.len(), "a request was attempted more than once");
+    assert_eq!(
+        distinct_ids.len(),
+        attempted_ids.len(),
+        "a request was attempted more than once: {attempted_ids:?}"
+    );
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -11,9 +11,9 @@
 use loopback::*;
 use socket2::{Domain, Socket, Type};
 
-/// Time in which 90 % of sidecars that start at once are ready.
+/// Time within which 90 % of sidecars that start at once must be ready.
 const P90_READY_LIMIT: Duration = Duration::from_secs(10);
-/// Time in which a sidecar is ready that starts beside few others.
+/// Time within which a sidecar must be ready if few others start at the same time.
 const READY_LIMIT: Duration = Duration::from_secs(6);
 
 /// Polls `/up` until the sidecar is ready; returns the time since `start`.
@@ -38,30 +38,49 @@
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// Addresses at which discovery is down in different ways, each for as long as its socket is open.
-fn unavailable_discoveries() -> [(&'static str, SocketAddr, Socket); 3] {
+/// An address at which discovery is down for as long as the socket is open.
+struct UnavailableDiscovery {
+    failure: &'static str,
+    address: SocketAddr,
+    _socket: Socket,
+}
+
+/// Discovery servers that are down in different ways.
+fn unavailable_discovery_servers() -> [UnavailableDiscovery; 3] {
     let refusing = refusing_socket();
     let never_accepts = TcpListener::bind("127.0.0.1:0").unwrap();
     let never_responds = TcpListener::bind("127.0.0.1:0").unwrap();
     let accepting = never_responds.try_clone().unwrap();
     std::thread::spawn(move || accepting.incoming().flatten().collect::<Vec<TcpStream>>());
     [
-        ("connection refused", address_of(&refusing), refusing),
-        ("connection never accepted", never_accepts.local_addr().unwrap(), never_accepts.into()),
-        ("no response", never_responds.local_addr().unwrap(), never_responds.into()),
+        UnavailableDiscovery {
+            failure: "connection refused",
+            address: address_of(&refusing),
+            _socket: refusing,
+        },
+        UnavailableDiscovery {
+            failure: "connection never accepted",
+            address: never_accepts.local_addr().unwrap(),
+            _socket: never_accepts.into(),
+        },
+        UnavailableDiscovery {
+            failure: "no response",
+            address: never_responds.local_addr().unwrap(),
+            _socket: never_responds.into(),
+        },
     ]
 }
 
-/// Settings with each membership mode.
-fn settings_variants() -> [String; 2] {
+/// The default settings in either membership mode.
+fn settings_per_membership_mode() -> [String; 2] {
     ["automatic", "subscribe"].map(|mode| SETTINGS_JSON.replace("automatic", mode))
 }
 
 #[test]
 fn sidecar_with_a_known_list_is_up_at_once_without_discovery() {
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
-    for settings in settings_variants() {
-        for (failure, address, _socket) in unavailable_discoveries() {
+    for settings in settings_per_membership_mode() {
+        for UnavailableDiscovery { failure, address, _socket } in unavailable_discovery_servers() {
             let start = Instant::now();
             let config = config_json("127.0.0.1:0", address, &ready_hosts(&[&upstream]), 256, &settings);
             let sidecar = Sidecar::start(&config);
@@ -72,30 +91,40 @@
     }
 }
 
-/// Known lists without any valid entry, and whether the sidecar must log an error.
-const UNUSABLE_LISTS: [(&str, bool); 9] = [
-    ("null", false),
-    (r#"{"seq":0,"whole":true,"hosts":[]}"#, false),
-    ("[]", true),
-    ("7", true),
-    (r#""gone""#, true),
-    (r#"{"seq":41}"#, true),
-    (r#"{"seq":41,"whole":true,"hosts":{}}"#, true),
-    (r#"{"seq":-1,"whole":true,"hosts":[7]}"#, true),
-    (r#"{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"nowhere","health":"ready"},null]}"#, true),
+/// A known host list without any valid entry.
+#[derive(Clone, Copy)]
+struct UnusableList {
+    known: &'static str,
+    /// Whether the sidecar must log an error.
+    logs_error: bool,
+}
+
+const UNUSABLE_LISTS: [UnusableList; 9] = [
+    UnusableList { known: "null", logs_error: false },
+    UnusableList { known: r#"{"seq":0,"whole":true,"hosts":[]}"#, logs_error: false },
+    UnusableList { known: "[]", logs_error: true },
+    UnusableList { known: "7", logs_error: true },
+    UnusableList { known: r#""gone""#, logs_error: true },
+    UnusableList { known: r#"{"seq":41}"#, logs_error: true },
+    UnusableList { known: r#"{"seq":41,"whole":true,"hosts":{}}"#, logs_error: true },
+    UnusableList { known: r#"{"seq":-1,"whole":true,"hosts":[7]}"#, logs_error: true },
+    UnusableList {
+        known: r#"{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"nowhere","health":"ready"},null]}"#,
+        logs_error: true,
+    },
 ];
 
 #[test]
 fn sidecar_without_any_list_is_up_in_time_and_refuses_requests() {
-    let threads: Vec<_> = settings_variants()
+    let threads: Vec<_> = settings_per_membership_mode()
         .into_iter()
-        .flat_map(|settings| UNUSABLE_LISTS.map(|(known, logs_error)| (settings.clone(), known, logs_error)))
+        .flat_map(|settings| UNUSABLE_LISTS.map(|list| (settings.clone(), list)))
         .enumerate()
-        .map(|(number, (settings, known, logs_error))| {
+        .map(|(number, (settings, UnusableList { known, logs_error }))| {
             std::thread::spawn(move || {
                 // Each kind of failure for a third of the cases.
-                let (failure, address, _socket) =
-                    unavailable_discoveries().into_iter().nth(number % 3).unwrap();
+                let UnavailableDiscovery { failure, address, _socket } =
+                    unavailable_discovery_servers().into_iter().nth(number % 3).unwrap();
                 let start = Instant::now();
                 let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, known, 256, &settings));
                 let first_status =
@@ -148,8 +177,9 @@
             discovery.watches().iter().any(|watch| watch.contains("from=0 "))
         });
     }
-    // A list without any valid entry: the sidecar requests a snapshot.
-    for (known, _) in UNUSABLE_LISTS.into_iter().skip(2) {
+    // A list without any valid entry: the sidecar requests a snapshot. The first two cases are a missing list and an
+    // empty one, which are not invalid.
+    for UnusableList { known, .. } in UNUSABLE_LISTS.into_iter().skip(2) {
         let discovery = Discovery::new(&host_list(41, true, &[host_entry("b", b.address, "ready")]));
         let sidecar =
             Sidecar::start(&config_json("127.0.0.1:0", discovery.address, known, 256, SETTINGS_JSON));
@@ -167,8 +197,8 @@
     }
 }
 
-/// A discovery for many concurrent watches, which answers each at once with `list`.
-fn start_discovery(list: String) -> SocketAddr {
+/// Starts a discovery server that serves many watches concurrently and sends this host list on each at once.
+fn start_concurrent_discovery(list: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let watches = Arc::new(Mutex::new(Vec::<TcpStream>::new()));
@@ -202,7 +232,7 @@
 }
 
 /// Starts `count` sidecars at once; returns the times until they were ready, sorted.
-fn start_many(count: usize, config: &str) -> Vec<Duration> {
+fn start_sidecars(count: usize, config: &str) -> Vec<Duration> {
     let barrier = Arc::new(Barrier::new(count));
     let threads: Vec<_> = (0..count)
         .map(|_| {
@@ -235,9 +265,9 @@
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let entries: Vec<String> =
         (0..200).map(|number| host_entry(&format!("s{number}"), upstream.address, "ready")).collect();
-    let discovery = start_discovery(host_list(41, true, &entries));
+    let discovery = start_concurrent_discovery(host_list(41, true, &entries));
     // Without a known list each sidecar needs a snapshot from discovery.
-    let times = start_many(300, &config_json("127.0.0.1:0", discovery, "null", 256, SETTINGS_JSON));
+    let times = start_sidecars(300, &config_json("127.0.0.1:0", discovery, "null", 256, SETTINGS_JSON));
     let (median, p90, max) = (times[149], times[269], times[299]);
     println!("300 at once: median {median:.2?}, p90 {p90:.2?}, max {max:.2?}");
     assert!(p90 < P90_READY_LIMIT, "90 % are ready after {p90:?}");
@@ -247,7 +277,7 @@
 fn p90_of_300_sidecars_started_at_once_without_any_list_is_ready_in_time() {
     let refusing = refusing_socket();
     let times =
-        start_many(300, &config_json("127.0.0.1:0", address_of(&refusing), "null", 256, SETTINGS_JSON));
+        start_sidecars(300, &config_json("127.0.0.1:0", address_of(&refusing), "null", 256, SETTINGS_JSON));
     let (median, p90, max) = (times[149], times[269], times[299]);
     println!("300 at once, no list: median {median:.2?}, p90 {p90:.2?}, max {max:.2?}");
     assert!(p90 < P90_READY_LIMIT, "90 % are ready after {p90:?}");
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -40,7 +40,7 @@
     assert_eq!(forwarded.header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
     assert_eq!(forwarded.header("x-request-id").map(str::len), Some(16));
     let timeout_ms: u64 = forwarded.header("x-timeout-ms").unwrap().parse().unwrap();
-    assert!((1..=6_000).contains(&timeout_ms));
+    assert!((1..=6_000).contains(&timeout_ms), "{timeout_ms} ms");
     assert_eq!(client.exchange("fetch").status(), 200);
     assert_eq!(upstream.requests()[1].start_line, "GET /fetch?k=7f3a9c21 HTTP/1.1");
 }
@@ -94,12 +94,12 @@
 
 #[test]
 fn oversized_responses_are_errors() {
-    let upstream = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; (64 << 10) + 1]));
+    let upstream = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; MAX_BODY_BYTES + 1]));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 502);
-    let at_limit = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; 64 << 10]));
+    let at_limit = Upstream::new(|_| Behaviour::Respond(200, "", vec![b'x'; MAX_BODY_BYTES]));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&at_limit]);
-    assert_eq!(Client::connect(sidecar.address).exchange("bill").body.len(), 64 << 10);
+    assert_eq!(Client::connect(sidecar.address).exchange("bill").body.len(), MAX_BODY_BYTES);
 }
 
 #[test]
@@ -224,7 +224,7 @@
 /// Guards against a final response that depends on which of several expired timers fires first after the process was
 /// suspended.
 #[test]
-fn the_module_chooses_the_final_response_after_a_suspension() {
+fn the_decision_module_chooses_the_final_response_after_a_suspension() {
     let silent = Upstream::new(|_| Behaviour::NoResponse);
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&silent]);
     let mut client = Client::connect(sidecar.address);
@@ -270,7 +270,7 @@
     let upstream = Upstream::new(|_| Behaviour::ok("served"));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let valid_request = http_request("log", 5_000);
-    let oversized = format!("Content-Length: {}\r\n", (64 << 10) + 1);
+    let oversized = format!("Content-Length: {}\r\n", MAX_BODY_BYTES + 1);
     for (from, to, status) in [
         ("/log?", "/other?", 404),
         ("X-Priority-Class: log", "X-Priority-Class: fetch", 400),
@@ -342,9 +342,9 @@
 
 #[test]
 fn duplicate_ids_of_pending_requests_are_rejected() {
-    let release = Arc::new(AtomicUsize::new(0));
-    let upstream_release = release.clone();
-    let upstream = Upstream::new(move |_| Behaviour::RespondWhenReleased(upstream_release.clone()));
+    let released = Arc::new(AtomicUsize::new(0));
+    let response_released = released.clone();
+    let upstream = Upstream::new(move |_| Behaviour::RespondWhenReleased(response_released.clone()));
     let (sidecar, _discovery) = Sidecar::for_upstreams(&[&upstream]);
     let request = http_request("bill", 20_000);
     let [mut first, mut second] = [0, 1].map(|_| Client::connect(sidecar.address));
@@ -353,7 +353,7 @@
     second.write(request.as_bytes());
     assert_eq!(second.read().expect("a response").status(), 409);
     assert_eq!(second.read_to_close(), Some(vec![]));
-    release.store(1, Ordering::SeqCst);
+    released.store(1, Ordering::SeqCst);
     assert_eq!(first.read().expect("a response").body, b"late");
     assert_eq!(upstream.requests().len(), 1);
     // After the response the id may be used again.
@@ -445,7 +445,7 @@
     let before = a.requests().len();
     (0..40).for_each(|_| drop(client.exchange("fetch")));
     assert_eq!(a.requests().len(), before, "a draining upstream received a request");
-    // An upstream that is missing from a complete list is gone.
+    // An upstream that is missing from a snapshot is gone.
     discovery.send_chunk(&format!("{}\n", host_list(8, true, &[host_entry("c", c.address, "ready")])));
     wait_until("b receives no more requests", || {
         let before = b.requests().len();
@@ -458,7 +458,7 @@
 fn the_watch_recovers_from_disconnects_and_malformed_lines() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let known = ready_hosts(&[&a]);
-    // Every watch begins with a list that contains the new upstream.
+    // Every watch begins with a snapshot that contains the new upstream.
     let discovery = Discovery::new(&host_list(
         9,
         true,
@@ -473,7 +473,7 @@
     wait_until("the sidecar opens a second watch", || discovery.watches().len() >= 2);
     assert!(
         discovery.watches()[1].contains("from=0 "),
-        "the malformed update was missed, so the whole list is requested"
+        "the malformed update was missed, so a snapshot must be requested"
     );
     discovery.close_watch();
     wait_until("the sidecar opens a third watch", || discovery.watches().len() >= 3);
@@ -497,7 +497,7 @@
 }
 
 #[test]
-fn the_module_requests_watches_in_subscribe_mode() {
+fn the_decision_module_requests_watches_in_subscribe_mode() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Behaviour::ok("served")));
     let known = ready_hosts(&[&a]);
     let discovery = Discovery::new(&host_list(9, true, &[host_entry("b", b.address, "ready")]));
@@ -506,7 +506,7 @@
     sidecar.wait_until_up();
     wait_until("the sidecar opens a watch", || !discovery.watches().is_empty());
     let mut client = Client::connect(sidecar.address);
-    wait_until("the list of discovery replaces the known one", || {
+    wait_until("the host list of discovery replaces the known one", || {
         client.exchange("fetch").status() == 200 && !b.requests().is_empty()
     });
     discovery.close_watch();
@@ -515,11 +515,11 @@
 
 #[test]
 fn sighup_moves_the_watch_and_keeps_the_list_and_connections() {
-    let release = Arc::new(AtomicUsize::new(0));
-    let upstream_release = release.clone();
+    let released = Arc::new(AtomicUsize::new(0));
+    let response_released = released.clone();
     let a = Upstream::new(move |message| {
         if message.start_line.starts_with("POST") {
-            Behaviour::RespondWhenReleased(upstream_release.clone())
+            Behaviour::RespondWhenReleased(response_released.clone())
         } else {
             Behaviour::ok("old")
         }
@@ -558,7 +558,7 @@
     wait_until("only the upstream that is not draining serves", || {
         (0..20).all(|_| client.exchange("fetch").body == b"old")
     });
-    release.store(1, Ordering::SeqCst);
+    released.store(1, Ordering::SeqCst);
     assert_eq!(pending.read().expect("a complete response").body, b"late");
 }
 
@@ -585,11 +585,11 @@
 
 #[test]
 fn sigterm_finishes_pending_and_newly_arriving_requests() {
-    let release = Arc::new(AtomicUsize::new(0));
-    let upstream_release = release.clone();
+    let released = Arc::new(AtomicUsize::new(0));
+    let response_released = released.clone();
     let upstream = Upstream::new(move |message| {
         if message.start_line.starts_with("POST") {
-            Behaviour::RespondWhenReleased(upstream_release.clone())
+            Behaviour::RespondWhenReleased(response_released.clone())
         } else {
             Behaviour::ok("served")
         }
@@ -613,7 +613,7 @@
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     }
     assert!(idle.read().is_none(), "the idle connection must be closed");
-    release.store(1, Ordering::SeqCst);
+    released.store(1, Ordering::SeqCst);
     assert_eq!(pending.read().expect("a complete response").body, b"late");
     assert!(sidecar.wait_for_exit().success());
 }
--- a/tests/timeouts_and_resets.rs
+++ b/tests/timeouts_and_resets.rs
@@ -11,7 +11,7 @@
 use loopback::*;
 use socket2::SockRef;
 
-/// Starts a sidecar with upstreams at these addresses.
+/// Starts a sidecar and a discovery server that lists upstreams at these addresses, and waits until the sidecar is up.
 fn start_sidecar(addresses: &[SocketAddr], settings: &str) -> (Sidecar, Discovery) {
     let entries: Vec<String> = addresses
         .iter()
@@ -32,8 +32,8 @@
     forwarded_timeout_ms - (client_timeout_ms as f64 - (arrived - sent).as_secs_f64() * 1e3)
 }
 
-/// Guards against forwarding a timeout that does not include the wait for an idle connection: the upstream would work
-/// for a client that has gone.
+/// Guards against forwarding a timeout from which the wait for an idle connection is not deducted: the upstream would
+/// work for a client that has disconnected.
 #[test]
 fn forwarded_timeout_excludes_the_wait_for_an_idle_connection() {
     let (arrival_sender, arrivals) = mpsc::channel();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn timeout_of_a_further_attempt_is_the_remaining_time() {
+fn forwarded_timeout_of_a_retry_is_the_remaining_time() {
     let (arrival_sender, arrivals) = mpsc::channel();
     let arrival_sender = Arc::new(Mutex::new(arrival_sender));
     let upstreams = [0, 1, 2].map(|_| {
@@ -86,7 +86,7 @@
 
 /// While the accept queue of an upstream is full, the kernel retries the connection after 1 s.
 #[test]
-fn timeout_after_a_slow_connect_is_the_remaining_time() {
+fn forwarded_timeout_after_a_slow_connect_is_the_remaining_time() {
     let FullAcceptQueue { listener, queue } = FullAcceptQueue::new();
     let address = listener.local_addr().unwrap();
     let settings = SETTINGS_JSON.replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":25000.0"#);
@@ -115,7 +115,7 @@
     let (request, arrived) = arrivals.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert!(arrived - sent > Duration::from_millis(500), "the connection was delayed");
     let excess = excess_ms(&request, arrived, sent, 20_000);
-    assert!(excess < 150.0, "{excess}");
+    assert!(excess < 150.0, "the forwarded timeout is {excess} ms too long");
 }
 
 /// Starts an upstream. Of all upstreams that share `request_count`, the first request is answered with `response` and a
@@ -189,17 +189,17 @@
                     let _ = (&stream).write_all(b"HTTP/1.1 20");
                 };
                 std::thread::scope(|scope| {
-                    let mut scheduled = false;
+                    let mut partial_response_scheduled = false;
                     while let Some(message) = read_message(&mut reader) {
                         if message.start_line.contains("/fetch?") && message.header("x-hold").is_some() {
                             held_requests.fetch_add(1, Ordering::SeqCst);
-                            if !std::mem::replace(&mut scheduled, true) {
+                            if !std::mem::replace(&mut partial_response_scheduled, true) {
                                 scope.spawn(send_partial_response);
                             }
                             continue;
                         }
                         let _ = (&stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved");
-                        if !std::mem::replace(&mut scheduled, true) {
+                        if !std::mem::replace(&mut partial_response_scheduled, true) {
                             scope.spawn(send_partial_response);
                         }
                     }
@@ -241,7 +241,7 @@
 fn keyed_request_is_not_retried_after_its_window() {
     // Attempts time out after about 200 ms, and connecting may take another 100 ms: within the first window, but not
     // the second. The third is shorter than the connect timeout, the fourth shorter than an attempt.
-    for (window, retried) in [(600, true), (250, false), (60, false), (150, false)] {
+    for (window_ms, retried) in [(600, true), (250, false), (60, false), (150, false)] {
         let (arrival_sender, arrivals) = mpsc::channel();
         let arrival_sender = Arc::new(Mutex::new(arrival_sender));
         let upstreams = [0, 1, 2].map(|_| {
@@ -252,7 +252,7 @@
             })
         });
         let settings = SETTINGS_JSON
-            .replace(r#""window":5000.0"#, &format!(r#""window":{window}.0"#))
+            .replace(r#""window":5000.0"#, &format!(r#""window":{window_ms}.0"#))
             .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":100.0"#)
             .replace(r#""aim":3000.0"#, r#""aim":260.0"#);
         let (sidecar, _discovery) =
@@ -263,9 +263,9 @@
         let status = client.read().expect("a response").status();
         assert_eq!(status, 502, "the request may have been executed");
         let delays: Vec<Duration> = arrivals.try_iter().map(|arrived: Instant| arrived - sent).collect();
-        assert_eq!(delays.len() > 1, retried, "{window} ms: {delays:?}");
-        assert!(!delays.is_empty());
-        let limit = Duration::from_millis(window + 50);
-        assert!(delays.iter().all(|delay| *delay <= limit), "{window} ms: {delays:?}");
+        assert_eq!(delays.len() > 1, retried, "{window_ms} ms: {delays:?}");
+        assert!(!delays.is_empty(), "{window_ms} ms: no attempt was sent");
+        let limit = Duration::from_millis(window_ms + 50);
+        assert!(delays.iter().all(|delay| *delay <= limit), "{window_ms} ms: {delays:?}");
     }
 }
