--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -8,28 +8,41 @@
 use sagemast::Balancer;
 use sagemast::api::*;
 
+/// A request whose attempt has not ended yet.
+struct OutstandingRequest {
+    completes_at: Millis,
+    request: RequestId,
+    upstream: UpstreamId,
+    latency: Millis,
+}
+
 /// Sends `rounds` requests that take `latency` each to servers that report their load when probed. `capacities`
 /// holds the id and the capacity of each server. Returns the number of sends by server.
 fn count_sends(capacities: &[(u64, f64)], rounds: usize, latency: Millis) -> BTreeMap<u64, usize> {
     let mut harness =
-        BalancerHarness::new(settings(), capacities.iter().map(|(id, _)| listing(*id)).collect());
-    let mut outstanding: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
+        BalancerHarness::new(settings(), capacities.iter().map(|(id, _)| upstream_record(*id)).collect());
+    let mut outstanding: Vec<OutstandingRequest> = Vec::new();
     let mut in_flight_by_server: BTreeMap<u64, usize> = BTreeMap::new();
     let mut sends: BTreeMap<u64, usize> = BTreeMap::new();
     for _ in 0..rounds {
         harness.now += 5.0;
         let now = harness.now;
-        for (_, request, upstream) in
-            outstanding.extract_if(.., |(due, _, _)| *due <= now).collect::<Vec<_>>()
+        for OutstandingRequest { request, upstream, latency, .. } in
+            outstanding.extract_if(.., |outstanding| outstanding.completes_at <= now).collect::<Vec<_>>()
         {
             *in_flight_by_server.entry(upstream.0).or_default() -= 1;
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
         }
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         if let Some(upstream) = sent_to(&actions) {
             *in_flight_by_server.entry(upstream.0).or_default() += 1;
             *sends.entry(upstream.0).or_default() += 1;
-            outstanding.push((harness.now + latency, request, upstream));
+            outstanding.push(OutstandingRequest {
+                completes_at: harness.now + latency,
+                request,
+                upstream,
+                latency,
+            });
         }
         for action in actions {
             if let Action::Probe(upstream) = action {
@@ -62,14 +75,14 @@
 /// Guards against overestimating a saturated server: its in-flight count includes the queue, so in-flight divided
 /// by utilisation exceeds its capacity.
 #[test]
-fn report_of_saturated_server_does_not_raise_estimated_capacity() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+fn report_of_saturated_server_does_not_raise_its_estimated_capacity() {
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 6.0, 0.75);
     for _ in 0..10 {
         // The estimated capacity is 8 for both; computed as 24 / 1.0, it would be 24 for the first.
         harness.report(1, 24.0, 1.0);
         harness.report(2, 8.0, 1.0);
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
         harness.handle_event(Event::RequestAbandoned(request));
         harness.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
@@ -77,7 +90,7 @@
     for _ in 0..10 {
         harness.report(1, 24.0, 1.0);
         harness.report(2, 9.0, 1.0);
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)), "9 requests are fewer than 24 at equal capacity");
         harness.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
@@ -87,14 +100,14 @@
 #[test]
 fn report_below_own_in_flight_count_is_not_used() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].latency_target = 450.0;
-    let mut harness = BalancerHarness::new(settings, vec![listing(1), listing(2)]);
+    settings.classes[IDEMPOTENT.0].latency_target = 450.0;
+    let mut harness = BalancerHarness::new(settings, vec![upstream_record(1), upstream_record(2)]);
     harness.report(1, 2.0, 1.0);
     harness.report(2, 2.0, 1.0);
     let mut sends = BTreeMap::new();
     for _ in 0..8 {
         harness.now += 1.0;
-        let (_, actions) = harness.arrive(REPEATABLE);
+        let (_, actions) = harness.arrive(IDEMPOTENT);
         *sends.entry(sent_to(&actions).unwrap().0).or_insert(0) += 1;
         harness.now += 1.0;
         // Both servers keep reporting that they are idle.
@@ -107,22 +120,27 @@
 /// Guards against a capacity estimate that ignores speed: servers of equal concurrency may differ in service time.
 #[test]
 fn slower_servers_get_fewer_requests() {
-    let mut harness = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
+    let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     let mut sends = BTreeMap::new();
-    let mut outstanding: Vec<(Millis, RequestId, UpstreamId, Millis)> = Vec::new();
+    let mut outstanding: Vec<OutstandingRequest> = Vec::new();
     for _ in 0..3_000 {
         harness.now += 10.0;
         let now = harness.now;
-        for (_, request, upstream, latency) in
-            outstanding.extract_if(.., |(due, ..)| *due <= now).collect::<Vec<_>>()
+        for OutstandingRequest { request, upstream, latency, .. } in
+            outstanding.extract_if(.., |outstanding| outstanding.completes_at <= now).collect::<Vec<_>>()
         {
             harness.finish(request, 0, upstream, Outcome::Ok, latency);
         }
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let Some(upstream) = sent_to(&actions) else { continue };
         *sends.entry(upstream.0).or_insert(0.0) += 1.0;
         let latency = if upstream.0 <= 2 { 60.0 } else { 30.0 };
-        outstanding.push((harness.now + latency, request, upstream, latency));
+        outstanding.push(OutstandingRequest {
+            completes_at: harness.now + latency,
+            request,
+            upstream,
+            latency,
+        });
     }
     assert!(sends[&3] + sends[&4] > 1.4 * (sends[&1] + sends[&2]), "{sends:?}");
 }
@@ -132,7 +150,7 @@
     let run = |seed: u64| {
         let mut balancer = Balancer::new(settings(), seed);
         let mut actions = Vec::new();
-        let servers = (1..=6).map(listing).collect();
+        let servers = (1..=6).map(upstream_record).collect();
         balancer.handle(0.0, Event::DiscoveryUpdated(DiscoveryUpdate::Restored(servers)), &mut actions);
         for id in 0..300 {
             let event = Event::RequestArrived {
@@ -154,12 +172,12 @@
 fn other_zones_get_requests_only_when_own_zone_is_at_its_limit() {
     let mut settings = settings();
     settings.zone_crossing_cost = 0.1;
-    let servers = (1..=6).map(|id| UpstreamRecord { zone: ZoneId(id % 2), ..listing(id) }).collect();
+    let servers = (1..=6).map(|id| UpstreamRecord { zone: ZoneId(id % 2), ..upstream_record(id) }).collect();
     let mut harness = BalancerHarness::new(settings, servers);
     harness.report_steady_load(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
     let mut sent_to_other_zone = 0;
     for round in 0..60 {
-        let (_, actions) = harness.arrive(REPEATABLE);
+        let (_, actions) = harness.arrive(IDEMPOTENT);
         sent_to_other_zone += usize::from(sent_to(&actions).is_some_and(|upstream| upstream.0 % 2 == 1));
         if round == 5 {
             assert_eq!(sent_to_other_zone, 0, "servers in the own zone have capacity left");
@@ -172,7 +190,7 @@
 /// count comes with a high utilisation.
 #[test]
 fn estimated_capacity_is_ratio_of_moving_averages() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     for _ in 0..60 {
         harness.now += 50.0;
         harness.report(1, 6.0, 0.75);
@@ -182,7 +200,7 @@
     harness.report(1, 1.0, 0.89);
     harness.report(1, 4.0, 0.75);
     harness.report(2, 6.0, 0.75);
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert_eq!(
         sent_to(&actions),
         Some(UpstreamId(1)),
@@ -195,13 +213,14 @@
 #[test]
 fn stale_reports_do_not_cause_herding() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].latency_target = 450.0;
-    let mut harness = BalancerHarness::new(settings, vec![listing(1), listing(2), listing(3)]);
+    settings.classes[IDEMPOTENT.0].latency_target = 450.0;
+    let mut harness =
+        BalancerHarness::new(settings, vec![upstream_record(1), upstream_record(2), upstream_record(3)]);
     harness.report_steady_load(&[1, 2, 3], 4.0, 0.9);
     let mut sends = BTreeMap::new();
     for round in 0..400 {
         harness.now += 10.0;
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let Some(upstream) = sent_to(&actions) else { continue };
         if round >= 200 {
             *sends.entry(upstream.0).or_insert(0) += 1;
@@ -211,6 +230,7 @@
             harness.now += 1.0;
             harness.report(id, if id == 1 { 0.0 } else { 4.0 }, if id == 1 { 0.0 } else { 0.9 });
         }
+        // The request of seven rounds ago ends. Its outcome counts only for the server that it was sent to.
         if round >= 7 {
             for id in 1..=3 {
                 harness.finish(RequestId(request.0 - 7), 0, UpstreamId(id), Outcome::Ok, 90.0);
@@ -224,11 +244,11 @@
 /// divided by utilisation is far too high at first.
 #[test]
 fn first_reports_do_not_set_estimated_capacity() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     for id in [1, 2] {
         harness.report(id, 12.0, 0.12);
     }
-    let (_, actions) = harness.arrive(REPEATABLE);
+    let (_, actions) = harness.arrive(IDEMPOTENT);
     assert!(refused(&actions), "12 requests on a server of unknown capacity are a long queue");
 }
 
@@ -238,8 +258,9 @@
 fn server_without_reports_gets_estimated_capacity_of_its_machine_type() {
     let machine_type = |id: u64| MachineTypeId(id % 2);
     let sends_to_unreported = |counted_type: MachineTypeId| {
-        let servers =
-            (1..=12).map(|id| UpstreamRecord { machine_type: machine_type(id), ..listing(id) }).collect();
+        let servers = (1..=12)
+            .map(|id| UpstreamRecord { machine_type: machine_type(id), ..upstream_record(id) })
+            .collect();
         let mut harness = BalancerHarness::new(settings(), servers);
         // Of the reporting servers, those with odd ids have four times the capacity.
         harness.report_steady_load(&[1, 3], 4.0, 0.5);
@@ -248,7 +269,7 @@
         let mut sends = 0;
         for _ in 0..400 {
             harness.now += 500.0;
-            let (request, actions) = harness.arrive(REPEATABLE);
+            let (request, actions) = harness.arrive(IDEMPOTENT);
             let upstream = sent_to(&actions).expect("a server has capacity left");
             sends += u32::from(upstream.0 > 4 && machine_type(upstream.0) == counted_type);
             harness.finish(request, 0, upstream, Outcome::Ok, 20.0);
@@ -263,11 +284,11 @@
 /// latency target.
 #[test]
 fn request_is_sent_without_waiting_for_probes_of_stale_servers() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 2.0, 0.5);
     harness.now += 5_000.0;
-    let (_, actions) = harness.arrive(REPEATABLE);
-    assert!(sent_to(&actions).is_some(), "sent in spite of stale reports: {actions:?}");
+    let (_, actions) = harness.arrive(IDEMPOTENT);
+    assert!(sent_to(&actions).is_some(), "the request was not sent: {actions:?}");
     for id in [1, 2] {
         assert!(actions.contains(&Action::Probe(UpstreamId(id))), "server {id} must be probed");
     }
@@ -280,10 +301,10 @@
 /// Guards against herding on one low report: reports in responses describe an earlier moment and vary.
 #[test]
 fn one_low_report_in_a_response_does_not_make_a_busy_server_look_idle() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     harness.report_steady_load(&[1, 2], 2.0, 0.25);
     let request_at_first = loop {
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("a server has capacity left");
         if upstream == UpstreamId(1) {
             break request;
@@ -305,7 +326,7 @@
     }));
     harness.report(2, 2.0, 0.25);
     assert_eq!(
-        sent_to(&harness.arrive(REPEATABLE).1),
+        sent_to(&harness.arrive(IDEMPOTENT).1),
         Some(UpstreamId(2)),
         "the first server still has six requests of other sidecars"
     );
@@ -315,12 +336,12 @@
 /// reports.
 #[test]
 fn servers_with_reports_in_responses_are_rarely_probed() {
-    let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+    let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
     let report = LoadReport { in_flight: Some(1.0), utilisation: Some(0.3), ..LoadReport::default() };
     let mut probes = 0;
     for round in 0..200 {
         harness.now += 100.0;
-        let (request, actions) = harness.arrive(REPEATABLE);
+        let (request, actions) = harness.arrive(IDEMPOTENT);
         let upstream = sent_to(&actions).expect("a server has capacity left");
         let probes_now = actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         probes += if round < 20 { 0 } else { probes_now };
@@ -343,12 +364,12 @@
 #[test]
 fn request_with_little_time_left_is_refused_only_behind_a_queue() {
     let arrive_at_load = |in_flight: f64| {
-        let mut harness = BalancerHarness::new(settings(), vec![listing(1), listing(2)]);
+        let mut harness = BalancerHarness::new(settings(), vec![upstream_record(1), upstream_record(2)]);
         harness.report_steady_load(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
         harness.handle_event(Event::RequestArrived {
             request,
-            class: REPEATABLE,
+            class: IDEMPOTENT,
             tenant,
             time_left: 40.0,
             cost: None,
@@ -361,13 +382,15 @@
 /// Guards against timing out large requests early: another attempt takes as much work and would time out as well.
 #[test]
 fn request_with_large_cost_hint_gets_longer_attempt_timeout() {
-    let mut harness = BalancerHarness::new(settings(), (1..=4).map(listing).collect());
+    let mut harness = BalancerHarness::new(settings(), (1..=4).map(upstream_record).collect());
     harness.report_steady_load(&[1, 2, 3, 4], 1.0, 0.25);
+    const USUAL_COST: f64 = 50_000.0;
+    const LARGE_COST: f64 = 400_000.0;
     let mut attempt_timeout = |id: u64, cost: f64| {
         let request = RequestId(10_000 + id);
         let tenant = TenantId(0);
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 500.0, cost: Some(cost) };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant, time_left: 500.0, cost: Some(cost) };
         let actions = harness.handle_event(event);
         let sent = actions.iter().find_map(|action| match action {
             Action::Send { upstream, timeout, .. } => Some((*upstream, *timeout)),
@@ -380,13 +403,16 @@
     };
     for id in 0..100 {
         assert!(
-            attempt_timeout(id, 50_000.0) < 200.0,
-            "usual cost: another attempt can still meet the latency target"
+            attempt_timeout(id, USUAL_COST) < 200.0,
+            "at the usual cost another attempt must still meet the latency target"
         );
     }
     assert!(
-        attempt_timeout(100, 400_000.0) >= 500.0,
-        "eight times the usual cost: one attempt gets all the time left"
+        attempt_timeout(100, LARGE_COST) >= 500.0,
+        "at eight times the usual cost one attempt gets all the time left"
+    );
+    assert!(
+        attempt_timeout(101, USUAL_COST) < 200.0,
+        "a single large request does not change the usual cost"
     );
-    assert!(attempt_timeout(101, 50_000.0) < 200.0, "a single large request does not change the usual cost");
 }
