--- a/src/api.rs
+++ b/src/api.rs
@@ -218,13 +218,13 @@
 pub enum Outcome {
     /// The server returned a successful response.
     Ok,
-    /// The server returned an error; the request may have run.
+    /// The server returned an error or an invalid response; the request may have run.
     Error,
     /// The server rejected the request without processing it.
     Rejected,
     /// No response arrived in time; the request may have run or may still run.
     TimedOut,
-    /// No connection could be established; the request did not run.
+    /// No connection could be established, or the request was not sent completely; it did not run.
     Unreachable,
     /// The connection broke; the request may have run.
     Reset,
@@ -252,9 +252,9 @@
     pub upstream: UpstreamId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time from sending the attempt to its end.
+    /// Time from the start of the attempt to its end.
     pub latency: Millis,
-    /// Whether the client has received its final response.
+    /// Whether the request has ended: it has its final response or needs none any more.
     pub request_completed: bool,
     /// The load report that came with the response.
     pub report: Option<LoadReport>,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -525,7 +525,7 @@
     }
 
     /// Updates a server's failure rate and ejects or reinstates it. After an ejection, single trial requests
-    /// decide; attempts sent earlier are not trials. Without `may_eject`, only the failure rate changes.
+    /// decide; attempts sent earlier are not trials. Without `may_eject`, a ready server stays ready.
     fn update_health(
         &mut self,
         id: UpstreamId,
--- a/src/bin/sagemast-simhost/wire.rs
+++ b/src/bin/sagemast-simhost/wire.rs
@@ -56,8 +56,8 @@
         time_left: f64,
         #[serde(rename = "category")]
         class: usize,
-        #[serde(default, rename = "state_bits")]
         /// Bits such as [`FLAG_COST_VALID`].
+        #[serde(default, rename = "state_bits")]
         flags: u64,
         #[serde(rename = "cost_guess")]
         cost: Option<f64>,
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 use net::driver::{Driver, DriverEvent};
 use net::log;
 
-/// How long new client connections are accepted after SIGTERM. Clients may connect for up to 0.4 s after it, and
+/// How long new client connections are expected after SIGTERM. Clients may connect for up to 0.4 s after it, and
 /// connections that are still in the accept queue then must be served as well.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(550);
 /// The minimum drain time, during which pending requests are completed; a longer request deadline extends it. SIGKILL
--- a/src/model.rs
+++ b/src/model.rs
@@ -266,7 +266,7 @@
 pub(crate) enum Health {
     /// Not ejected.
     Ready,
-    /// Receives no requests until `until`, then one trial request at a time.
+    /// Receives no requests until `until`, then one trial request at a time, unless no server is eligible.
     Ejected {
         until: Millis,
         /// Duration of the ejection before jitter; doubles with each failed trial.
@@ -315,11 +315,12 @@
     pub id: UpstreamId,
     /// Whether the server is in this sidecar's zone and does not fail more often than its peers.
     pub local: bool,
-    /// Whether the server is not ejected and the request has not been sent to it before.
+    /// Whether the server is not ejected or may receive a trial request, and the request has not been sent to it
+    /// before.
     pub eligible: bool,
     /// Fraction of its full capacity that the server has; below 1 while it is cold.
     pub capacity_fraction: f64,
-    /// Requests that may be sent now while the server is cold.
+    /// Tokens in the bucket that limits the rate of requests while the server is cold.
     pub cold_start_tokens: f64,
     /// Refill rate of the tokens.
     pub cold_start_rate_per_s: f64,
@@ -358,7 +359,8 @@
 /// Inputs and intermediate results of selecting a server for one request.
 #[derive(Default)]
 pub(crate) struct SelectionContext {
-    /// The servers that the request may be sent to, those in this sidecar's zone first.
+    /// The servers that the request may be sent to. Those in this sidecar's zone come first until drawing a pair
+    /// shuffles the list.
     pub ids: Vec<UpstreamId>,
     /// Number of servers in this sidecar's zone; 0 if they are not preferred.
     pub local_count: usize,
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -63,7 +63,7 @@
     Serving,
     /// After SIGTERM: clients are still accepted, but every response closes its connection.
     Draining,
-    /// No new clients are expected: only open requests are finished.
+    /// No new clients are expected, but any that still connect are served until no connection is open.
     Closing,
 }
 
@@ -130,7 +130,7 @@
 pub enum FinalResponse {
     /// Headers and body of an upstream's response.
     Served(HeaderMap, Bytes),
-    /// The request did not run and may be retried, preferably after this delay.
+    /// The client may safely retry the request, preferably after this delay.
     Refused(Millis),
     /// The request failed and may have run.
     Failed,
@@ -394,7 +394,8 @@
     }
 }
 
-/// Answers a request: the readiness check itself, any other one with the final response from the driver.
+/// Answers a request: the readiness check and invalid requests itself, all others with the final response from the
+/// driver.
 async fn handle_request(
     request: Request<Incoming>,
     frontend: &Frontend,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -38,7 +38,7 @@
 /// Memory of a client connection under load, in KiB: its buffer and a body in each direction, and the same for the
 /// connection to the upstream.
 const CONNECTION_KIB: usize = 256;
-/// Minimum number of file descriptors; fewer leave none for connections on both sides.
+/// Minimum number of file descriptors; fewer leave too few for connections on both sides.
 const MIN_SOCKETS: usize = 64;
 
 /// Resource limits of the process.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -22,14 +22,14 @@
 use super::driver::DriverEvent;
 use super::log;
 
-/// A watch that delivers neither a complete object nor an empty line for this long is dead: discovery sends an empty
+/// A watch on which no object starts or ends and no empty line arrives for this long is dead: discovery sends an empty
 /// line every 2 s. Updates must be applied within 6 s: that leaves time for a second watch that delivers nothing at all
 /// and for unanswered calls before and after it.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time in which a call that the decision module requests must be answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest wait after a watch that delivered updates. It doubles, up to the backoff cap, for each further watch that
-/// delivers none.
+/// Longest wait after a watch that delivered updates or ended with an idle timeout. It doubles, up to the backoff cap,
+/// for each further watch that fails before it delivers an update.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Backoff cap as a fraction of the drain grace: once discovery is reachable again, a drain that it announces must be
 /// known well before the grace ends.
@@ -241,7 +241,7 @@
     pub drain_grace: Duration,
     /// Random numbers for the jitter of retries.
     pub rng: Rand64,
-    /// Limits the file descriptors that calls take.
+    /// Opens the connections of calls; learns of calls that find no free file descriptor.
     pub descriptors: Arc<Descriptors>,
 }
 
@@ -254,7 +254,7 @@
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// Neither a complete object nor an empty line arrived within [`WATCH_IDLE_TIMEOUT`].
+    /// No object started or ended and no empty line arrived within [`WATCH_IDLE_TIMEOUT`].
     IdleTimeout,
     /// Any other reason.
     Other(anyhow::Error),
@@ -298,7 +298,7 @@
 
     /// Watches once, for settings under which the decision module requests watches, and sends the driver
     /// [`DriverEvent::DiscoveryFailed`] at the end. Reconnects by itself only after an idle timeout. With
-    /// `retry_until_answered`, as after the address of discovery has changed, the first call is retried as well.
+    /// `retry_until_answered`, as after a reload of the configuration, the first call is retried as well.
     pub async fn run_once(mut self, retry_until_answered: bool) {
         let mut opened = if retry_until_answered {
             Ok(self.connect_with_retries().await)
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -321,9 +321,9 @@
         }
     }
 
-    /// Ends a request at its deadline. If the process was suspended, attempts may have timed out without a report:
-    /// the module is told of these timeouts first, so that it can choose the final response. A request that the
-    /// module does not end even then fails.
+    /// Ends a request at its deadline or at that of the shutdown. Attempts that are still in flight, for example after
+    /// the process was suspended, are reported to the module as timed out first, so that it can choose the final
+    /// response. A request that the module does not end even then fails.
     fn end_at_deadline(&mut self, request: RequestId) {
         let all_attempts = (request, AttemptNo(0))..=(request, AttemptNo(u32::MAX));
         let in_flight_attempts: Vec<InFlightAttempt> =
--- a/src/server_list.rs
+++ b/src/server_list.rs
@@ -50,7 +50,8 @@
 /// The listed servers, including those that no longer serve but have outstanding attempts.
 #[derive(Debug, Default)]
 pub(crate) struct ServerList {
-    /// Fields that the totals depend on may be changed only through [`ServerList::update`].
+    /// Fields that the totals depend on may be changed only through [`ServerList::update`] and
+    /// [`ServerList::apply`].
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
     /// The ring of each zone that has serving servers.
     pub rings: BTreeMap<ZoneId, Ring>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// Times and factors in the settings must be below this.
 const MAX_SETTING_VALUE: f64 = 1e9;
-/// Larger values in a load report are discarded as invalid.
+/// Larger values in the text of a load report are discarded as invalid.
 const MAX_REPORT_VALUE: f64 = 1e6;
 
 /// The settings object as serialized. Fields have the names of [`Settings`] where they have the same meaning;
--- a/src/subset.rs
+++ b/src/subset.rs
@@ -120,7 +120,7 @@
         let (mut members, mut local_count) = (std::mem::take(&mut self.subset.members), 0);
         members.clear();
         for (zone, ring) in self.server_list.rings_from(own_zone) {
-            // The offset per zone gives sidecars adjacent in one zone different neighbours in the next.
+            // The offset varies the starting point of a sidecar from zone to zone.
             let zone_offset = zone.0 as f64 * GOLDEN_RATIO_CONJUGATE * GOLDEN_RATIO_CONJUGATE;
             let start = ((sidecar_index + 1.0) * GOLDEN_RATIO_CONJUGATE + zone_offset).fract();
             let (before_start, from_start) = ring.split_at((start * ring.len() as f64) as usize);
