--- a/regression.sh
+++ b/regression.sh
@@ -1,29 +1,29 @@
 #!/usr/bin/env bash
-# Plays the bench's panels one after another: regression.sh "one sentence that says why". Takes all cores.
-# Ends non-zero when a panel does not run, or fails its gate or does not say that it passed where it has one.
+# Runs all benchmark panels in sequence; each uses all cores. The argument is recorded as the reason for the run.
+# Exits non-zero if a panel fails to run, fails its gate, or has a gate and does not report that it passed.
 set -uo pipefail
 cd "$(dirname "$0")"
 kit=../given/kit
-mass=$kit/more/mass/bin/lbreal
-fleet=$kit/more/bin/lbreal
-module=$kit/bin/lbsim
+mass_bench=$kit/more/mass/bin/lbreal
+fleet_bench=$kit/more/bin/lbreal
+module_bench=$kit/bin/lbsim
 site=$kit/sites/jegy-budapest.toml
-others=("$kit/more/mass/other/nairobi-refills.toml" deploy/sites/turnstile-short.toml deploy/sites/freight-long.toml)
+other_sites=("$kit/more/mass/other/nairobi-refills.toml" deploy/sites/turnstile-short.toml deploy/sites/freight-long.toml)
 if [ $# -ne 1 ] || [ -z "$1" ]; then
-    echo "usage: $0 \"one sentence that says why\"" >&2
+    echo "usage: $0 \"reason for the run, in one sentence\"" >&2
     exit 2
 fi
-for needed in "$mass" "$fleet" "$module" "$site" "${others[@]}"; do
-    if [ ! -e "$needed" ]; then
-        echo "missing: $needed (the kit stands beside the repository)" >&2
+for required in "$mass_bench" "$fleet_bench" "$module_bench" "$site" "${other_sites[@]}"; do
+    if [ ! -e "$required" ]; then
+        echo "missing: $required (the benchmark kit is expected in $kit)" >&2
         exit 2
     fi
 done
 output=$(mktemp)
 trap 'rm -f "$output"' EXIT
 failed=0
-# panel NAME GATE COMMAND...: GATE is "gated" where the bench ends with a verdict, else "free".
-panel() {
+# run_panel NAME GATE COMMAND...: GATE is "gated" if the benchmark reports whether its gate passed, else "free".
+run_panel() {
     local name=$1 gate=$2
     shift 2
     echo "== panel $name"
@@ -36,15 +36,15 @@
     fi
 }
 for seed in 1 2 3; do
-    panel "brink, seed $seed" gated "$mass" score "$site" --panel brink --seed "$seed" --why "$1"
+    run_panel "brink, seed $seed" gated "$mass_bench" score "$site" --panel brink --seed "$seed" --why "$1"
 done
-for other in "${others[@]}"; do
-    panel "brink, $(basename "$other" .toml)" gated "$mass" score "$other" --panel brink --seed 1 --why "$1"
-    panel "mass, $(basename "$other" .toml), quick" gated "$mass" score "$other" --panel mass --quick --why "$1"
+for other_site in "${other_sites[@]}"; do
+    run_panel "brink, $(basename "$other_site" .toml)" gated "$mass_bench" score "$other_site" --panel brink --seed 1 --why "$1"
+    run_panel "mass, $(basename "$other_site" .toml), quick" gated "$mass_bench" score "$other_site" --panel mass --quick --why "$1"
 done
-panel mass gated "$mass" score "$site" --panel mass --why "$1"
-# The fleet's bench plays its own days when no panel is named; it tells no name for them.
-panel fleet free "$fleet" score "$site" --why "$1"
-panel later free "$fleet" score "$site" --panel later --why "$1"
-panel module free "$module" score "$site" --why "$1"
+run_panel mass gated "$mass_bench" score "$site" --panel mass --why "$1"
+# Without --panel, the fleet benchmark runs its default panel, which has no name.
+run_panel fleet free "$fleet_bench" score "$site" --why "$1"
+run_panel later free "$fleet_bench" score "$site" --panel later --why "$1"
+run_panel module free "$module_bench" score "$site" --why "$1"
 exit "$failed"
